--- a/libfilberthall/load/router_share.c
+++ b/libfilberthall/load/router_share.c
@@ -12,11 +12,11 @@
 	uint64_t allocator;
 	uint64_t *members; /* sorted */
 	int n;
-	int self;	  /* own place among them, -1 if not */
-	int64_t round_us; /* of the last round */
-	int64_t heard_us; /* of the last grants */
+	int self;	       /* own place among them, -1 if not */
+	int64_t round_us;      /* of the last round */
+	int64_t last_grant_us; /* of the last grants */
 	int64_t rounds;
-	struct share *book; /* while this router is the allocator */
+	struct share *allocator_state; /* while this router is the allocator */
 };
 
 void router_share_init(struct router *router)
@@ -27,7 +27,7 @@
 
 void router_share_free(struct router *router)
 {
-	share_free(router->peers->book);
+	share_free(router->peers->allocator_state);
 	free(router->peers->members);
 	free(router->peers);
 }
@@ -119,12 +119,12 @@
 	if (!router->options.features.shares)
 		return;
 	if (allocator == router->options.self) {
-		if (!peers->book)
-			peers->book = share_new();
-		share_members(peers->book, peers->members, n);
+		if (!peers->allocator_state)
+			peers->allocator_state = share_new();
+		share_set_members(peers->allocator_state, peers->members, n);
 	} else {
-		share_free(peers->book);
-		peers->book = NULL;
+		share_free(peers->allocator_state);
+		peers->allocator_state = NULL;
 	}
 	router_lapse(router, now_us);
 }
@@ -133,14 +133,14 @@
 {
 	struct share_demand demand = {
 		.slots = (int64_t)pool->slots,
-		.pressure = pool->local_pressure,
+		.pressured_tier = pool->local_pressure,
 	};
 	int tier;
 
 	snprintf(demand.pool, sizeof(demand.pool), "%s", pool->name);
 	for (tier = 0; tier < SCHED_TIERS; tier++)
-		demand.want[tier] = pool->running_by_tier[tier] +
-				    pool->pressure[tier].waiting;
+		demand.demand[tier] = pool->running_by_tier[tier] +
+				      pool->pressure[tier].waiting;
 	return demand;
 }
 
@@ -161,9 +161,9 @@
 {
 	struct quota *quota = &organisation->quota;
 	bool in_use = quota->concurrent || quota->asked;
-	struct share_use use = {
+	struct share_usage use = {
 		.concurrent = quota->concurrent,
-		.asked = quota->asked,
+		.requests = quota->asked,
 		.limit = organisation->rule.max_concurrent,
 	};
 
@@ -171,7 +171,7 @@
 		return;
 	snprintf(use.organisation, sizeof(use.organisation), "%s",
 		 organisation->rule.name);
-	share_write_use(writer, &use);
+	share_write_usage(writer, &use);
 	quota->asked = 0;
 	quota->reported = in_use;
 }
@@ -207,15 +207,16 @@
 	int64_t now_us;
 };
 
-static void take_heard(void *data, enum share_kind kind)
+static void on_message_kind(void *data, enum share_kind kind)
 {
 	const struct message *message = data;
 	struct router_peers *peers = message->router->peers;
 
 	if (kind == SHARE_GRANT && message->peer == peers->allocator)
-		peers->heard_us = message->now_us;
-	if (kind == SHARE_DEMAND && peers->book)
-		share_heard(peers->book, message->peer, message->now_us);
+		peers->last_grant_us = message->now_us;
+	if (kind == SHARE_DEMAND && peers->allocator_state)
+		share_record_contact(peers->allocator_state, message->peer,
+				     message->now_us);
 }
 
 static void take_demand(void *data, const struct share_demand *demand)
@@ -223,19 +224,19 @@
 	const struct message *message = data;
 	struct router_peers *peers = message->router->peers;
 
-	if (peers->book)
-		share_note_demand(peers->book, message->peer, demand,
-				  message->now_us);
+	if (peers->allocator_state)
+		share_record_demand(peers->allocator_state, message->peer,
+				    demand, message->now_us);
 }
 
-static void take_use(void *data, const struct share_use *use)
+static void take_use(void *data, const struct share_usage *use)
 {
 	const struct message *message = data;
 	struct router_peers *peers = message->router->peers;
 
-	if (peers->book)
-		share_note_use(peers->book, message->peer, use,
-			       message->now_us);
+	if (peers->allocator_state)
+		share_record_usage(peers->allocator_state, message->peer, use,
+				   message->now_us);
 }
 
 static void take_grant(void *data, const struct share_grant *grant)
@@ -255,17 +256,17 @@
 	pool->own_from = 0;
 	pool->own_until = 0;
 	if (grant->total > 0) {
-		pool->own_from = (double)grant->before / (double)grant->total;
-		pool->own_until = (double)(grant->before + grant->slots) /
+		pool->own_from = (double)grant->offset / (double)grant->total;
+		pool->own_until = (double)(grant->offset + grant->slots) /
 				  (double)grant->total;
 	}
-	pool->global_pressure = grant->pressure < SCHED_TIERS
-					? (int)grant->pressure
+	pool->global_pressure = grant->pressured_tier < SCHED_TIERS
+					? (int)grant->pressured_tier
 					: SCHED_TIERS;
 	pool_press(router, pool, message->now_us);
 }
 
-static void take_part(void *data, const struct share_part *part)
+static void take_part(void *data, const struct share_limit_grant *part)
 {
 	const struct message *message = data;
 	struct router *router = message->router;
@@ -275,8 +276,8 @@
 		return;
 	organisation =
 		organisation_of(router, part->organisation, message->now_us);
-	quota_set_part(&organisation->quota, part->part, part->concurrent,
-		       message->now_us);
+	quota_set_part(&organisation->quota, part->rate_fraction,
+		       part->concurrent, message->now_us);
 }
 
 static void take_crash(void *data, const struct share_crash *crash)
@@ -295,11 +296,11 @@
 {
 	struct message message = { router, peer, now_us };
 	struct share_reader reader = {
-		.heard = take_heard,
+		.message = on_message_kind,
 		.demand = take_demand,
-		.use = take_use,
+		.usage = take_use,
 		.grant = take_grant,
-		.part = take_part,
+		.limit_grant = take_part,
 		.crash = take_crash,
 		.data = &message,
 	};
@@ -329,9 +330,9 @@
 	share_write_grant(data, grant);
 }
 
-static void write_part(void *data, const struct share_part *part)
+static void write_part(void *data, const struct share_limit_grant *part)
 {
-	share_write_part(data, part);
+	share_write_limit_grant(data, part);
 }
 
 /* Work out a round and tell everybody, this router included. */
@@ -343,10 +344,10 @@
 	struct bytes body;
 	int i;
 
-	share_round(peers->book, now_us);
+	share_allocate(peers->allocator_state, now_us);
 	for (i = 0; i < peers->n; i++) {
-		share_visit(peers->book, peers->members[i], write_grant,
-			    write_part, &writer);
+		share_visit(peers->allocator_state, peers->members[i],
+			    write_grant, write_part, &writer);
 		body = share_write_end(&writer, SHARE_GRANT);
 		if (i != peers->self) {
 			router_send(effects, peers->members[i], body);
@@ -370,7 +371,7 @@
 		return;
 	peers->round_us = now_us;
 	body = router_demand(router, now_us);
-	if (peers->book) {
+	if (peers->allocator_state) {
 		router_message(router, router->options.self, &body, now_us,
 			       effects);
 		bytes_clear(&body);
@@ -381,7 +382,7 @@
 		router_send(effects, peers->allocator, body);
 	else
 		bytes_clear(&body);
-	if (now_us - peers->heard_us > SHARE_SILENT_US)
+	if (now_us - peers->last_grant_us > SHARE_STALE_US)
 		router_lapse(router, now_us);
 }
 
--- a/libfilberthall/load/share.c
+++ b/libfilberthall/load/share.c
@@ -18,7 +18,7 @@
 	return sum;
 }
 
-void share_equal(int64_t total, int64_t *parts, int n, int64_t turn)
+void share_divide_equally(int64_t total, int64_t *parts, int n, int64_t turn)
 {
 	int i;
 
@@ -72,7 +72,7 @@
 	return share;
 }
 
-static void share_clear_books(struct share *share)
+static void share_clear_tables(struct share *share)
 {
 	struct share_pool *pool;
 	struct share_pool *next_pool;
@@ -95,23 +95,24 @@
 {
 	if (!share)
 		return;
-	share_clear_books(share);
+	share_clear_tables(share);
 	free(share->members);
-	free(share->heard_us);
+	free(share->last_contact_us);
 	free(share);
 }
 
-void share_members(struct share *share, const uint64_t *members, int n)
+void share_set_members(struct share *share, const uint64_t *members, int n)
 {
 	size_t size = (size_t)n * sizeof(*members);
 
 	if (n == share->n && n && !memcmp(members, share->members, size))
 		return;
-	share_clear_books(share);
+	share_clear_tables(share);
 	free(share->members);
-	free(share->heard_us);
+	free(share->last_contact_us);
 	share->members = xcalloc((size_t)n + 1, sizeof(*members));
-	share->heard_us = xcalloc((size_t)n + 1, sizeof(*share->heard_us));
+	share->last_contact_us =
+		xcalloc((size_t)n + 1, sizeof(*share->last_contact_us));
 	if (n)
 		memcpy(share->members, members, size);
 	share->n = n;
@@ -144,52 +145,52 @@
 	pool = xcalloc(1, sizeof(*pool));
 	snprintf(pool->name, sizeof(pool->name), "%s", name);
 	pool->rows = xcalloc((size_t)share->n + 1, sizeof(*pool->rows));
-	pool->pressure = SCHED_TIERS;
+	pool->pressured_tier = SCHED_TIERS;
 	map_insert(&share->pools, &pool->node, hash);
 	return pool;
 }
 
-void share_heard(struct share *share, uint64_t member, int64_t now_us)
+void share_record_contact(struct share *share, uint64_t member, int64_t now_us)
 {
 	int at = share_index(share, member);
 
 	if (at >= 0)
-		share->heard_us[at] = now_us;
+		share->last_contact_us[at] = now_us;
 }
 
-static double share_gain(const struct share_slot *row,
-			 const struct share_demand *demand, int tier)
+static double demand_gain(const struct share_row *row,
+			  const struct share_demand *demand, int tier)
 {
-	if (!tier && (double)demand->want[tier] > row->want[tier])
+	if (!tier && (double)demand->demand[tier] > row->demand[tier])
 		return 1;
-	return SHARE_WANT_GAIN;
+	return SHARE_DEMAND_GAIN;
 }
 
-void share_note_demand(struct share *share, uint64_t member,
-		       const struct share_demand *demand, int64_t now_us)
+void share_record_demand(struct share *share, uint64_t member,
+			 const struct share_demand *demand, int64_t now_us)
 {
 	int at = share_index(share, member);
 	struct share_pool *pool;
-	struct share_slot *row;
+	struct share_row *row;
 	int tier;
 
 	if (at < 0)
 		return;
 	pool = share_pool_get(share, demand->pool);
 	row = &pool->rows[at];
-	row->known = true;
+	row->reported = true;
 	row->slots = demand->slots;
-	row->pressure = demand->pressure;
+	row->pressured_tier = demand->pressured_tier;
 	for (tier = 0; tier < SCHED_TIERS; tier++)
-		row->want[tier] +=
-			share_gain(row, demand, tier) *
-			((double)demand->want[tier] - row->want[tier]);
+		row->demand[tier] +=
+			demand_gain(row, demand, tier) *
+			((double)demand->demand[tier] - row->demand[tier]);
 }
 
-bool share_is_silent(const struct share *share, int at, int64_t now_us)
+bool share_is_stale(const struct share *share, int at, int64_t now_us)
 {
-	return !share->heard_us[at] ||
-	       now_us - share->heard_us[at] > SHARE_SILENT_US;
+	return !share->last_contact_us[at] ||
+	       now_us - share->last_contact_us[at] > SHARE_STALE_US;
 }
 
 static int64_t pool_slots(const struct share *share,
@@ -205,40 +206,40 @@
 }
 
 /* The highest tier that is pressed on any daemon that is heard. */
-static void pool_press_round(const struct share *share, struct share_pool *pool,
-			     int64_t now_us)
+static void update_pool_pressure(const struct share *share,
+				 struct share_pool *pool, int64_t now_us)
 {
 	int i;
 
-	pool->pressure = SCHED_TIERS;
+	pool->pressured_tier = SCHED_TIERS;
 	for (i = 0; i < share->n; i++) {
-		const struct share_slot *row = &pool->rows[i];
+		const struct share_row *row = &pool->rows[i];
 
-		if (row->known && !share_is_silent(share, i, now_us) &&
-		    row->pressure < pool->pressure)
-			pool->pressure = row->pressure;
+		if (row->reported && !share_is_stale(share, i, now_us) &&
+		    row->pressured_tier < pool->pressured_tier)
+			pool->pressured_tier = row->pressured_tier;
 	}
 }
 
-void heard_open(const struct share *share, struct share_heard_list *list,
-		int64_t now_us)
+void live_members_init(const struct share *share,
+		       struct share_live_members *list, int64_t now_us)
 {
 	size_t size = (size_t)share->n;
 	int i;
 
 	list->index = xcalloc(size, sizeof(*list->index));
-	list->wants = xcalloc(size, sizeof(*list->wants));
+	list->demands = xcalloc(size, sizeof(*list->demands));
 	list->parts = xcalloc(size, sizeof(*list->parts));
 	list->n = 0;
 	for (i = 0; i < share->n; i++)
-		if (!share_is_silent(share, i, now_us))
+		if (!share_is_stale(share, i, now_us))
 			list->index[list->n++] = i;
 }
 
-void heard_close(struct share_heard_list *list)
+void live_members_clear(struct share_live_members *list)
 {
 	free(list->index);
-	free(list->wants);
+	free(list->demands);
 	free(list->parts);
 }
 
@@ -246,9 +247,9 @@
  * A daemon that isn't heard takes the equal part by itself; the others must
  * not be given it. Returns what is left for those that are heard.
  */
-static int64_t without_silent(const struct share *share,
-			      const struct share_heard_list *list,
-			      int64_t total_of)
+static int64_t total_without_stale(const struct share *share,
+				   const struct share_live_members *list,
+				   int64_t total_of)
 {
 	int64_t total = total_of;
 	int next = 0;
@@ -263,44 +264,44 @@
 	return total;
 }
 
-static void pool_round(struct share *share, struct share_pool *pool,
-		       int64_t now_us)
+static void allocate_pool(struct share *share, struct share_pool *pool,
+			  int64_t now_us)
 {
 	int64_t slots = pool_slots(share, pool);
-	struct share_heard_list list;
+	struct share_live_members list;
 	int64_t left;
 	int tier;
 	int i;
 
-	heard_open(share, &list, now_us);
-	left = without_silent(share, &list, slots);
+	live_members_init(share, &list, now_us);
+	left = total_without_stale(share, &list, slots);
 	for (tier = 0; tier < SCHED_TIERS; tier++) {
 		for (i = 0; i < list.n; i++)
-			list.wants[i] = (int64_t)ceil(
-				pool->rows[list.index[i]].want[tier]);
-		left = share_divide(left, list.wants, list.parts, list.n,
-				    share->turn);
+			list.demands[i] = (int64_t)ceil(
+				pool->rows[list.index[i]].demand[tier]);
+		left = share_divide(left, list.demands, list.parts, list.n,
+				    share->round);
 	}
-	share_equal(left, list.parts, list.n, share->turn);
+	share_divide_equally(left, list.parts, list.n, share->round);
 	for (i = 0; i < share->n; i++)
 		pool->rows[i].grant = share_fallback(slots, share->n, i);
 	for (i = 0; i < list.n; i++)
 		pool->rows[list.index[i]].grant = list.parts[i];
-	heard_close(&list);
-	pool_press_round(share, pool, now_us);
+	live_members_clear(&list);
+	update_pool_pressure(share, pool, now_us);
 }
 
-void share_round(struct share *share, int64_t now_us)
+void share_allocate(struct share *share, int64_t now_us)
 {
 	struct share_pool *pool;
 	struct share_pool *next_pool;
 
 	if (!share->n)
 		return;
-	share->turn++;
+	share->round++;
 	map_foreach(pool, next_pool, &share->pools, node)
-		pool_round(share, pool, now_us);
-	share_limits_round(share, now_us);
+		allocate_pool(share, pool, now_us);
+	share_allocate_limits(share, now_us);
 }
 
 static int64_t grants_up_to(const struct share_pool *pool, int n)
@@ -315,7 +316,7 @@
 
 void share_visit(const struct share *share, uint64_t member,
 		 void (*grant)(void *data, const struct share_grant *grant),
-		 void (*part)(void *data, const struct share_part *part),
+		 void (*part)(void *data, const struct share_limit_grant *part),
 		 void *data)
 {
 	int at = share_index(share, member);
@@ -328,19 +329,22 @@
 		return;
 	map_foreach(pool, next_pool, &share->pools, node) {
 		struct share_grant out = { .slots = pool->rows[at].grant,
-					   .before = grants_up_to(pool, at),
+					   .offset = grants_up_to(pool, at),
 					   .total =
 						   grants_up_to(pool, share->n),
-					   .pressure = pool->pressure };
+					   .pressured_tier =
+						   pool->pressured_tier };
 
 		memcpy(out.pool, pool->name, sizeof(out.pool));
 		grant(data, &out);
 	}
 	map_foreach(limit, next_limit, &share->limits, node) {
-		struct share_part out = { .part = limit->rows[at].part,
-					  .concurrent = limit->rows[at].grant };
+		struct share_limit_grant out = {
+			.rate_fraction = limit->rows[at].rate_fraction,
+			.concurrent = limit->rows[at].grant
+		};
 
-		if (!limit->rows[at].told)
+		if (!limit->rows[at].updated)
 			continue;
 		memcpy(out.organisation, limit->name, sizeof(out.organisation));
 		part(data, &out);
--- a/libfilberthall/load/share.h
+++ b/libfilberthall/load/share.h
@@ -35,7 +35,7 @@
  * several rounds may be lost before a fallback.
  */
 #define SHARE_ROUND_US INT64_C(250000)
-#define SHARE_SILENT_US INT64_C(1500000)
+#define SHARE_STALE_US INT64_C(1500000)
 
 /**
  * Limits of organisations are reported and divided in each fourth round only,
@@ -49,23 +49,23 @@
  * that are still in use, so wants are averaged over some rounds; only a rise
  * of the top tier counts at once.
  */
-#define SHARE_WANT_GAIN 0.3
+#define SHARE_DEMAND_GAIN 0.3
 
 #define SHARE_NAME_SIZE 72
 
 /** What one daemon says of one pool. */
 struct share_demand {
 	char pool[SHARE_NAME_SIZE];
-	int64_t slots;		   /**< of the pool, as it sees them */
-	int64_t want[SCHED_TIERS]; /**< running and waiting */
-	int64_t pressure;	   /**< highest tier that waits, or 4 */
+	int64_t slots;		     /**< of the pool, as it sees them */
+	int64_t demand[SCHED_TIERS]; /**< running and waiting */
+	int64_t pressured_tier;	     /**< highest tier that waits, or 4 */
 };
 
 /** What it says of one organisation with limits. */
-struct share_use {
+struct share_usage {
 	char organisation[SHARE_NAME_SIZE];
 	int64_t concurrent; /**< requests in */
-	int64_t asked;	    /**< requests since the last round */
+	int64_t requests;   /**< requests since the last round */
 	int64_t limit;	    /**< max_concurrent, 0 for none */
 };
 
@@ -76,14 +76,14 @@
 struct share_grant {
 	char pool[SHARE_NAME_SIZE];
 	int64_t slots;
-	int64_t before;	  /**< slots of the daemons before this one */
-	int64_t total;	  /**< slots of all */
-	int64_t pressure; /**< highest tier that waits on any daemon */
+	int64_t offset;		/**< slots of the daemons before this one */
+	int64_t total;		/**< slots of all */
+	int64_t pressured_tier; /**< highest tier that waits on any daemon */
 };
 
-struct share_part {
+struct share_limit_grant {
 	char organisation[SHARE_NAME_SIZE];
-	double part; /**< of the rates */
+	double rate_fraction; /**< of the rates */
 	int64_t concurrent;
 };
 
@@ -102,7 +102,7 @@
 int64_t share_fallback(int64_t total, int n, int at);
 
 /** Add `total` to `parts` in equal shares. */
-void share_equal(int64_t total, int64_t *parts, int n, int64_t turn);
+void share_divide_equally(int64_t total, int64_t *parts, int n, int64_t turn);
 
 /** The allocator's book of what it was told. */
 struct share;
@@ -111,22 +111,22 @@
 void share_free(struct share *share);
 
 /** Set who takes part; what was heard of others is dropped. */
-void share_members(struct share *share, const uint64_t *members, int n);
+void share_set_members(struct share *share, const uint64_t *members, int n);
 
 /** Take in what a daemon says; counts as hearing from it. */
-void share_heard(struct share *share, uint64_t member, int64_t now_us);
-void share_note_demand(struct share *share, uint64_t member,
-		       const struct share_demand *demand, int64_t now_us);
-void share_note_use(struct share *share, uint64_t member,
-		    const struct share_use *use, int64_t now_us);
+void share_record_contact(struct share *share, uint64_t member, int64_t now_us);
+void share_record_demand(struct share *share, uint64_t member,
+			 const struct share_demand *demand, int64_t now_us);
+void share_record_usage(struct share *share, uint64_t member,
+			const struct share_usage *use, int64_t now_us);
 
 /** Work out a round; the calls below then tell each daemon its part. */
-void share_round(struct share *share, int64_t now_us);
+void share_allocate(struct share *share, int64_t now_us);
 
 /** Visit the grants and parts of one member after share_round(). */
 void share_visit(const struct share *share, uint64_t member,
 		 void (*grant)(void *data, const struct share_grant *grant),
-		 void (*part)(void *data, const struct share_part *part),
+		 void (*part)(void *data, const struct share_limit_grant *part),
 		 void *data);
 
 #endif
--- a/libfilberthall/load/share_limit.c
+++ b/libfilberthall/load/share_limit.c
@@ -27,22 +27,22 @@
 	return limit;
 }
 
-void share_note_use(struct share *share, uint64_t member,
-		    const struct share_use *use, int64_t now_us)
+void share_record_usage(struct share *share, uint64_t member,
+			const struct share_usage *use, int64_t now_us)
 {
 	int at = share_index(share, member);
 	struct share_limit *limit;
-	struct share_slot *row;
+	struct share_row *row;
 
 	if (at < 0)
 		return;
 	limit = share_limit_get(share, use->organisation);
 	limit->limit = use->limit;
 	row = &limit->rows[at];
-	row->known = true;
+	row->reported = true;
 	row->fresh = true;
 	row->concurrent = use->concurrent;
-	row->asked = row->asked / 2 + (double)use->asked;
+	row->recent_requests = row->recent_requests / 2 + (double)use->requests;
 }
 
 /*
@@ -50,26 +50,26 @@
  * part it was last told, or the fallback if it never was; this is taken off
  * before the others divide the rest.
  */
-static void limit_open(const struct share *share,
-		       const struct share_limit *limit,
-		       struct share_heard_list *list, int64_t *places,
-		       double *rates, int64_t now_us)
+static void limit_begin_round(const struct share *share,
+			      const struct share_limit *limit,
+			      struct share_live_members *list, int64_t *places,
+			      double *rates, int64_t now_us)
 {
 	int n = 0;
 	int i;
 
-	heard_open(share, list, now_us);
+	live_members_init(share, list, now_us);
 	*places = limit->limit;
 	*rates = 1;
 	for (i = 0; i < share->n; i++) {
-		const struct share_slot *row = &limit->rows[i];
-		bool silent = share_is_silent(share, i, now_us);
+		const struct share_row *row = &limit->rows[i];
+		bool silent = share_is_stale(share, i, now_us);
 
 		if (!silent && row->fresh) {
 			list->index[n++] = i;
-		} else if (!silent && row->known) {
+		} else if (!silent && row->reported) {
 			*places -= row->grant;
-			*rates -= row->part;
+			*rates -= row->rate_fraction;
 		} else {
 			*places -= share_fallback(limit->limit, share->n, i);
 			*rates -= 1.0 / share->n;
@@ -87,39 +87,46 @@
  * next request in, half by demand. Places: what is in use stays, the rest by
  * demand, what is left in equal parts.
  */
-static void limit_round(struct share *share, struct share_limit *limit,
-			int64_t now_us)
+static void allocate_limit(struct share *share, struct share_limit *limit,
+			   int64_t now_us)
 {
-	struct share_heard_list list;
+	struct share_live_members list;
 	double asked = 0;
 	double rates;
 	int64_t left;
 	int i;
 
-	limit_open(share, limit, &list, &left, &rates, now_us);
+	limit_begin_round(share, limit, &list, &left, &rates, now_us);
 	for (i = 0; i < list.n; i++) {
-		list.wants[i] = limit->rows[list.index[i]].concurrent;
-		asked += limit->rows[list.index[i]].asked;
+		list.demands[i] = limit->rows[list.index[i]].concurrent;
+		asked += limit->rows[list.index[i]].recent_requests;
 	}
-	left = share_divide(left, list.wants, list.parts, list.n, share->turn);
+	left = share_divide(left, list.demands, list.parts, list.n,
+			    share->round);
 	for (i = 0; i < list.n; i++)
-		list.wants[i] = (int64_t)limit->rows[list.index[i]].asked;
-	left = share_divide(left, list.wants, list.parts, list.n, share->turn);
-	share_equal(left, list.parts, list.n, share->turn);
+		list.demands[i] =
+			(int64_t)limit->rows[list.index[i]].recent_requests;
+	left = share_divide(left, list.demands, list.parts, list.n,
+			    share->round);
+	share_divide_equally(left, list.parts, list.n, share->round);
 	for (i = 0; i < list.n; i++) {
-		struct share_slot *row = &limit->rows[list.index[i]];
+		struct share_row *row = &limit->rows[list.index[i]];
 		double equal = 1.0 / list.n;
 
-		row->part = asked > 0 ? rates * (equal + row->asked / asked) / 2
-				      : rates * equal;
+		row->rate_fraction =
+			asked > 0 ? rates *
+					    (equal +
+					     row->recent_requests / asked) /
+					    2
+				  : rates * equal;
 		row->grant = list.parts[i];
 		row->fresh = false;
-		row->told = true;
+		row->updated = true;
 	}
-	heard_close(&list);
+	live_members_clear(&list);
 }
 
-void share_limits_round(struct share *share, int64_t now_us)
+void share_allocate_limits(struct share *share, int64_t now_us)
 {
 	struct share_limit *limit;
 	struct share_limit *next;
@@ -127,8 +134,8 @@
 
 	map_foreach(limit, next, &share->limits, node) {
 		for (i = 0; i < share->n; i++)
-			limit->rows[i].told = false;
-		if (share->turn % SHARE_LIMIT_ROUNDS == 0)
-			limit_round(share, limit, now_us);
+			limit->rows[i].updated = false;
+		if (share->round % SHARE_LIMIT_ROUNDS == 0)
+			allocate_limit(share, limit, now_us);
 	}
 }
--- a/libfilberthall/load/share_message.c
+++ b/libfilberthall/load/share_message.c
@@ -16,13 +16,14 @@
 	msgpack_pack_array(&packer, 3 + SCHED_TIERS);
 	pack_text(&packer, demand->pool);
 	msgpack_pack_int64(&packer, demand->slots);
-	msgpack_pack_int64(&packer, demand->pressure);
+	msgpack_pack_int64(&packer, demand->pressured_tier);
 	for (i = 0; i < SCHED_TIERS; i++)
-		msgpack_pack_int64(&packer, demand->want[i]);
+		msgpack_pack_int64(&packer, demand->demand[i]);
 	writer->n_first++;
 }
 
-void share_write_use(struct share_writer *writer, const struct share_use *use)
+void share_write_usage(struct share_writer *writer,
+		       const struct share_usage *use)
 {
 	msgpack_packer packer;
 
@@ -30,7 +31,7 @@
 	msgpack_pack_array(&packer, 4);
 	pack_text(&packer, use->organisation);
 	msgpack_pack_int64(&packer, use->concurrent);
-	msgpack_pack_int64(&packer, use->asked);
+	msgpack_pack_int64(&packer, use->requests);
 	msgpack_pack_int64(&packer, use->limit);
 	writer->n_second++;
 }
@@ -44,21 +45,21 @@
 	msgpack_pack_array(&packer, 5);
 	pack_text(&packer, grant->pool);
 	msgpack_pack_int64(&packer, grant->slots);
-	msgpack_pack_int64(&packer, grant->before);
+	msgpack_pack_int64(&packer, grant->offset);
 	msgpack_pack_int64(&packer, grant->total);
-	msgpack_pack_int64(&packer, grant->pressure);
+	msgpack_pack_int64(&packer, grant->pressured_tier);
 	writer->n_first++;
 }
 
-void share_write_part(struct share_writer *writer,
-		      const struct share_part *part)
+void share_write_limit_grant(struct share_writer *writer,
+			     const struct share_limit_grant *part)
 {
 	msgpack_packer packer;
 
 	pack_init(&packer, &writer->second);
 	msgpack_pack_array(&packer, 3);
 	pack_text(&packer, part->organisation);
-	msgpack_pack_double(&packer, part->part);
+	msgpack_pack_double(&packer, part->rate_fraction);
 	msgpack_pack_int64(&packer, part->concurrent);
 	writer->n_second++;
 }
@@ -164,9 +165,9 @@
 
 	row_text(row, demand.pool, sizeof(demand.pool));
 	demand.slots = row_int(row);
-	demand.pressure = row_int(row);
+	demand.pressured_tier = row_int(row);
 	for (i = 0; i < SCHED_TIERS; i++)
-		demand.want[i] = row_int(row);
+		demand.demand[i] = row_int(row);
 	if (!row->bad && reader->demand)
 		reader->demand(reader->data, &demand);
 	return !row->bad;
@@ -174,14 +175,14 @@
 
 static bool read_use(struct row *row, const struct share_reader *reader)
 {
-	struct share_use use = { 0 };
+	struct share_usage use = { 0 };
 
 	row_text(row, use.organisation, sizeof(use.organisation));
 	use.concurrent = row_int(row);
-	use.asked = row_int(row);
+	use.requests = row_int(row);
 	use.limit = row_int(row);
-	if (!row->bad && reader->use)
-		reader->use(reader->data, &use);
+	if (!row->bad && reader->usage)
+		reader->usage(reader->data, &use);
 	return !row->bad;
 }
 
@@ -191,9 +192,9 @@
 
 	row_text(row, grant.pool, sizeof(grant.pool));
 	grant.slots = row_int(row);
-	grant.before = row_int(row);
+	grant.offset = row_int(row);
 	grant.total = row_int(row);
-	grant.pressure = row_int(row);
+	grant.pressured_tier = row_int(row);
 	if (!row->bad && reader->grant)
 		reader->grant(reader->data, &grant);
 	return !row->bad;
@@ -201,13 +202,13 @@
 
 static bool read_part(struct row *row, const struct share_reader *reader)
 {
-	struct share_part part = { 0 };
+	struct share_limit_grant part = { 0 };
 
 	row_text(row, part.organisation, sizeof(part.organisation));
-	part.part = row_real(row);
+	part.rate_fraction = row_real(row);
 	part.concurrent = row_int(row);
-	if (!row->bad && reader->part)
-		reader->part(reader->data, &part);
+	if (!row->bad && reader->limit_grant)
+		reader->limit_grant(reader->data, &part);
 	return !row->bad;
 }
 
@@ -250,8 +251,8 @@
 
 	if (message->bad)
 		return false;
-	if (reader->heard)
-		reader->heard(reader->data, (enum share_kind)kind);
+	if (reader->message)
+		reader->message(reader->data, (enum share_kind)kind);
 	switch (kind) {
 	case SHARE_DEMAND:
 		return read_rows(message, read_demand, reader) &&
--- a/libfilberthall/load/share_message.h
+++ b/libfilberthall/load/share_message.h
@@ -34,11 +34,12 @@
 
 void share_write_demand(struct share_writer *writer,
 			const struct share_demand *demand);
-void share_write_use(struct share_writer *writer, const struct share_use *use);
+void share_write_usage(struct share_writer *writer,
+		       const struct share_usage *use);
 void share_write_grant(struct share_writer *writer,
 		       const struct share_grant *grant);
-void share_write_part(struct share_writer *writer,
-		      const struct share_part *part);
+void share_write_limit_grant(struct share_writer *writer,
+			     const struct share_limit_grant *part);
 
 /** Put the message together; the writer is empty afterwards. */
 struct bytes share_write_end(struct share_writer *writer, enum share_kind kind);
@@ -47,11 +48,11 @@
 
 /** What to do with what a message holds; unused ones may be NULL. */
 struct share_reader {
-	void (*heard)(void *data, enum share_kind kind);
+	void (*message)(void *data, enum share_kind kind);
 	void (*demand)(void *data, const struct share_demand *demand);
-	void (*use)(void *data, const struct share_use *use);
+	void (*usage)(void *data, const struct share_usage *use);
 	void (*grant)(void *data, const struct share_grant *grant);
-	void (*part)(void *data, const struct share_part *part);
+	void (*limit_grant)(void *data, const struct share_limit_grant *part);
 	void (*crash)(void *data, const struct share_crash *crash);
 	void *data;
 };
--- a/tests/load/t-share.c
+++ b/tests/load/t-share.c
@@ -9,7 +9,7 @@
 
 struct heard {
 	struct share_grant grants[4];
-	struct share_part parts[4];
+	struct share_limit_grant parts[4];
 	struct share_demand demand;
 	struct share_crash crash;
 	int n_grants;
@@ -23,7 +23,7 @@
 	heard->grants[heard->n_grants++] = *grant;
 }
 
-static void take_part(void *data, const struct share_part *part)
+static void take_part(void *data, const struct share_limit_grant *part)
 {
 	struct heard *heard = data;
 
@@ -49,23 +49,23 @@
 
 	for (i = 0; i < MEMBERS; i++)
 		members[i] = (uint64_t)i + 1;
-	share_members(share, members, MEMBERS);
+	share_set_members(share, members, MEMBERS);
 	for (i = silent; i < MEMBERS; i++) {
 		struct share_demand demand = { .pool = "m:base",
 					       .slots = slots,
-					       .pressure = SCHED_TIERS };
-		struct share_use use = { .organisation = "a", .limit = 10 };
+					       .pressured_tier = SCHED_TIERS };
+		struct share_usage use = { .organisation = "a", .limit = 10 };
 
 		for (tier = 0; tier < SCHED_TIERS; tier++)
-			demand.want[tier] = (int64_t)rng_below(rng, 60);
+			demand.demand[tier] = (int64_t)rng_below(rng, 60);
 		use.concurrent = (int64_t)rng_below(rng, 3);
-		use.asked = (int64_t)rng_below(rng, 20);
-		share_heard(share, members[i], 1000000);
-		share_note_demand(share, members[i], &demand, 1000000);
-		share_note_use(share, members[i], &use, 1000000);
+		use.requests = (int64_t)rng_below(rng, 20);
+		share_record_contact(share, members[i], 1000000);
+		share_record_demand(share, members[i], &demand, 1000000);
+		share_record_usage(share, members[i], &use, 1000000);
 	}
 	for (i = 0; i < SHARE_LIMIT_ROUNDS; i++)
-		share_round(share, 1000001);
+		share_allocate(share, 1000001);
 	return share;
 }
 
@@ -90,12 +90,12 @@
 			share_visit(share, (uint64_t)i + 1, take_grant,
 				    take_part, &heard);
 			g_assert_cmpint(heard.n_grants, ==, 1);
-			g_assert_cmpint(heard.grants[0].before, ==, sum);
+			g_assert_cmpint(heard.grants[0].offset, ==, sum);
 			sum += heard.grants[0].slots;
 			if (i < silent)
 				continue;
 			concurrent += heard.parts[0].concurrent;
-			part += heard.parts[0].part;
+			part += heard.parts[0].rate_fraction;
 		}
 		g_assert_cmpint(sum, ==, slots);
 		g_assert_cmpint(concurrent, <=, 10);
@@ -110,26 +110,26 @@
 	uint64_t members[2] = { 1, 2 };
 	struct share_demand high = { .pool = "m:base",
 				     .slots = 10,
-				     .want = { 9, 0, 0, 0 },
-				     .pressure = 0 };
+				     .demand = { 9, 0, 0, 0 },
+				     .pressured_tier = 0 };
 	struct share_demand low = { .pool = "m:base",
 				    .slots = 10,
-				    .want = { 0, 0, 50, 0 },
-				    .pressure = 2 };
+				    .demand = { 0, 0, 50, 0 },
+				    .pressured_tier = 2 };
 	struct share *share = share_new();
 	struct heard heard = { 0 };
 
-	share_members(share, members, 2);
-	share_heard(share, 1, 1000000);
-	share_heard(share, 2, 1000000);
-	share_note_demand(share, 1, &high, 1000000);
-	share_note_demand(share, 2, &low, 1000000);
-	share_round(share, 1000001);
+	share_set_members(share, members, 2);
+	share_record_contact(share, 1, 1000000);
+	share_record_contact(share, 2, 1000000);
+	share_record_demand(share, 1, &high, 1000000);
+	share_record_demand(share, 2, &low, 1000000);
+	share_allocate(share, 1000001);
 	share_visit(share, 1, take_grant, take_part, &heard);
 	share_visit(share, 2, take_grant, take_part, &heard);
 	g_assert_cmpint(heard.grants[0].slots, ==, 9);
 	g_assert_cmpint(heard.grants[1].slots, ==, 1);
-	g_assert_cmpint(heard.grants[1].pressure, ==, 0);
+	g_assert_cmpint(heard.grants[1].pressured_tier, ==, 0);
 	share_free(share);
 }
 
@@ -137,8 +137,8 @@
 {
 	struct share_demand demand = { .pool = "m:base",
 				       .slots = 12,
-				       .want = { 1, 2, 3, 4 },
-				       .pressure = 2 };
+				       .demand = { 1, 2, 3, 4 },
+				       .pressured_tier = 2 };
 	struct share_crash crash = { UINT64_MAX, 7, 99 };
 	struct heard heard = { 0 };
 	struct share_reader reader = { .demand = take_demand,
