--- a/libfilberthall/control/control.c
+++ b/libfilberthall/control/control.c
@@ -402,7 +402,7 @@
 		.voters = members_voters(members),
 		.members = (int)members->count,
 		.entry_vms = control_entry_vms(control),
-		.servers = registry_usable(&control->registry),
+		.servers = registry_count_usable(&control->registry),
 		.reported = control->reported,
 		.lists = control->lists,
 	};
--- a/libfilberthall/control/control_fleet.c
+++ b/libfilberthall/control/control_fleet.c
@@ -66,13 +66,13 @@
 static void count_servers(const struct control *control, const char *service,
 			  const char *zone, struct sizing_zone *out)
 {
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 
 	map_foreach(registered, next, &control->registry.by_id, node) {
-		const struct registration *told = &registered->told;
+		const struct registration *told = &registered->registration;
 
-		if (!registered_usable(registered) ||
+		if (!registry_entry_usable(registered) ||
 		    strcmp(told->service, service) != 0 ||
 		    strcmp(told->zone, zone) != 0)
 			continue;
--- a/libfilberthall/control/control_servers.c
+++ b/libfilberthall/control/control_servers.c
@@ -38,13 +38,13 @@
 void control_tell_fleet(struct control *control, const struct feed_peer *peer,
 			int64_t now_us, struct effects *effects)
 {
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 	struct bytes body = { 0 };
 
 	map_foreach(registered, next, &control->registry.by_id, node) {
-		feed_write_registration(&body, &registered->told,
-					now_us - registered->heard_us);
+		feed_write_registration(&body, &registered->registration,
+					now_us - registered->last_contact_us);
 		feed_send(effects, peer->id, &body);
 		bytes_clear(&body);
 	}
@@ -62,15 +62,15 @@
 /* The list of all servers, as entry VMs take it. */
 static struct bytes pack_fleet(const struct control *control, int64_t now_us)
 {
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 	struct bytes packed = { 0 };
 	struct bytes list = { 0 };
 	struct bytes body = { 0 };
 
 	map_foreach(registered, next, &control->registry.by_id, node) {
-		feed_write_registration(&body, &registered->told,
-					now_us - registered->heard_us);
+		feed_write_registration(&body, &registered->registration,
+					now_us - registered->last_contact_us);
 		feed_bundle_add(&list, &body);
 		bytes_clear(&body);
 	}
@@ -125,10 +125,10 @@
 			       const struct feed_message *message,
 			       int64_t now_us)
 {
-	struct registered *replaced;
+	struct registry_entry *replaced;
 
-	registry_take(&control->registry, &message->u.registration,
-		      now_us - message->age_us, &replaced);
+	registry_update(&control->registry, &message->u.registration,
+			now_us - message->age_us, &replaced);
 }
 
 void control_take_alive(struct control *control,
@@ -137,9 +137,9 @@
 	size_t i;
 
 	for (i = 0; i < message->n_alive; i++)
-		registry_alive(&control->registry, message->alive[i].id,
-			       message->alive[i].born_ms,
-			       now_us - message->alive[i].age_us);
+		registry_heartbeat(&control->registry, message->alive[i].id,
+				   message->alive[i].started_ms,
+				   now_us - message->alive[i].age_us);
 }
 
 /* When what is urgent may be told, as far as pauses go. */
@@ -194,10 +194,10 @@
 }
 
 static void tell_registered(struct control *control,
-			    const struct registered *registered, int64_t now_us,
-			    struct effects *effects)
+			    const struct registry_entry *registered,
+			    int64_t now_us, struct effects *effects)
 {
-	const struct registration *told = &registered->told;
+	const struct registration *told = &registered->registration;
 	struct bytes body = { 0 };
 
 	control_log(effects, LOG_INFO, "server",
@@ -207,24 +207,25 @@
 		    : told->leaving ? "leaving"
 				    : "ready",
 		    told->id, told->address, told->service, told->zone,
-		    (long long)told->born_ms, (long long)told->sequence,
+		    (long long)told->started_ms, (long long)told->sequence,
 		    (long long)told->slots, told->cheap);
-	feed_write_registration(&body, told, now_us - registered->heard_us);
+	feed_write_registration(&body, told,
+				now_us - registered->last_contact_us);
 	send_news(control, &body, told->gone || told->leaving, now_us, effects);
 }
 
 void control_register(struct control *control, const struct registration *told,
 		      int64_t now_us, struct effects *effects)
 {
-	struct registered *registered;
-	struct registered *replaced;
+	struct registry_entry *registered;
+	struct registry_entry *replaced;
 	enum registry_outcome outcome;
 
-	outcome = registry_take(&control->registry, told, now_us, &replaced);
+	outcome = registry_update(&control->registry, told, now_us, &replaced);
 	if (outcome == REGISTRY_STALE)
 		return;
 	registered = registry_find(&control->registry, told->id);
-	registered->here_us = now_us;
+	registered->last_direct_contact_us = now_us;
 	if (replaced)
 		tell_registered(control, replaced, now_us, effects);
 	if (outcome == REGISTRY_CHANGED)
@@ -234,7 +235,8 @@
 void control_unregister(struct control *control, const char *id, int64_t now_us,
 			struct effects *effects)
 {
-	struct registered *registered = registry_leave(&control->registry, id);
+	struct registry_entry *registered =
+		registry_mark_gone(&control->registry, id);
 
 	if (registered)
 		tell_registered(control, registered, now_us, effects);
@@ -262,7 +264,8 @@
 
 	for (i = 0; i < n; i++) {
 		feed_add_mark(&bytes,
-			      registration_mark(alive[i].id, alive[i].born_ms));
+			      registration_short_id(alive[i].id,
+						    alive[i].started_ms));
 		if (alive[i].age_us > marks.age_us)
 			marks.age_us = alive[i].age_us;
 	}
@@ -278,18 +281,19 @@
 	struct bytes marks = { 0 };
 	size_t most = control->registry.by_id.count;
 	struct feed_alive *alive = xcalloc(most + 1, sizeof(*alive));
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 	struct bytes body = { 0 };
 	size_t n = 0;
 
 	map_foreach(registered, next, &control->registry.by_id, node) {
-		if (registered->told.gone ||
-		    registered->here_us <= control->alive_us)
+		if (registered->registration.gone ||
+		    registered->last_direct_contact_us <= control->alive_us)
 			continue;
-		memcpy(alive[n].id, registered->told.id, sizeof(alive[n].id));
-		alive[n].born_ms = registered->told.born_ms;
-		alive[n++].age_us = now_us - registered->here_us;
+		memcpy(alive[n].id, registered->registration.id,
+		       sizeof(alive[n].id));
+		alive[n].started_ms = registered->registration.started_ms;
+		alive[n++].age_us = now_us - registered->last_direct_contact_us;
 	}
 	if (n) {
 		feed_write_alive(&body, alive, n);
--- a/libfilberthall/core/gossip.c
+++ b/libfilberthall/core/gossip.c
@@ -99,8 +99,8 @@
 	backend = fleet_find(&core->fleet, announce->address);
 	if (!backend)
 		return;
-	backend->untold = digest_identity(backend) == before;
-	if (backend->untold)
+	backend->forward_pending = digest_identity(backend) == before;
+	if (backend->forward_pending)
 		return;
 	gossip_pack_announce(core, backend, &body);
 	peers_send_all(core, LINK_FLEET, &body);
--- a/libfilberthall/entry/entry.c
+++ b/libfilberthall/entry/entry.c
@@ -149,7 +149,7 @@
 	entry_feed_tick(entry);
 	if (now_us - entry->faded_us >= FADE_US) {
 		entry->faded_us = now_us;
-		fleet_fade(&entry->fleet, FADE_US, now_us);
+		fleet_decay_load(&entry->fleet, FADE_US, now_us);
 	}
 	router_tick(entry->router, now_us, effects);
 	note_fresh(entry);
@@ -242,6 +242,6 @@
 		entry->fresh_us > INT64_MIN / 4 ? now_us - entry->fresh_us : -1;
 	view.control_vms = (int)entry->peers.count;
 	view.open = (int64_t)entry->calls.count;
-	view.servers = registry_usable(&entry->registry);
+	view.servers = registry_count_usable(&entry->registry);
 	return view;
 }
--- a/libfilberthall/entry/entry_feed.c
+++ b/libfilberthall/entry/entry_feed.c
@@ -225,44 +225,46 @@
 	};
 
 	snprintf(boot_id, sizeof(boot_id), "%.40s@%lld", told->id,
-		 (long long)told->born_ms);
+		 (long long)told->started_ms);
 	fleet_announce(&entry->fleet, &announce, entry->now_us);
 	fleet_drain(&entry->fleet, told->address, false);
 }
 
 /* Bring the router's fleet in line with one registration. */
-static void publish(struct entry *entry, const struct registered *registered)
+static void publish(struct entry *entry,
+		    const struct registry_entry *registered)
 {
-	const struct registration *told = &registered->told;
-	const struct registered *holder =
-		registry_at(&entry->registry, told->address);
+	const struct registration *told = &registered->registration;
+	const struct registry_entry *holder =
+		registry_find_address(&entry->registry, told->address);
 
-	if (registered_usable(registered))
+	if (registry_entry_usable(registered))
 		announce(entry, told);
 	else if (!holder || holder == registered)
 		fleet_retire(&entry->fleet, told->address,
-			     entry->now_us + REGISTRY_DEAD_US);
+			     entry->now_us + REGISTRY_TOMBSTONE_US);
 	entry_log(entry, LOG_INFO, "server",
 		  "event=%s server=%s address=%s service=%s zone=%s cheap=%d "
 		  "heard_ms=%lld",
-		  told->gone	       ? "gone"
-		  : told->leaving      ? "leaving"
-		  : registered->silent ? "silent"
-				       : "ready",
+		  told->gone		  ? "gone"
+		  : told->leaving	  ? "leaving"
+		  : registered->timed_out ? "silent"
+					  : "ready",
 		  told->id, told->address, told->service, told->zone,
 		  told->cheap,
-		  (long long)((entry->now_us - registered->heard_us) / 1000));
+		  (long long)((entry->now_us - registered->last_contact_us) /
+			      1000));
 }
 
 static void take_registration(struct entry *entry,
 			      const struct feed_message *message)
 {
 	const struct registration *told = &message->u.registration;
-	struct registered *replaced;
+	struct registry_entry *replaced;
 	enum registry_outcome outcome;
 
-	outcome = registry_take(&entry->registry, told,
-				entry->now_us - message->age_us, &replaced);
+	outcome = registry_update(&entry->registry, told,
+				  entry->now_us - message->age_us, &replaced);
 	if (replaced)
 		publish(entry, replaced);
 	if (outcome == REGISTRY_CHANGED)
@@ -272,11 +274,11 @@
 static void heard_alive(struct entry *entry, const char *id, int64_t born_ms,
 			int64_t heard_us)
 {
-	struct registered *known = registry_find(&entry->registry, id);
-	bool was_silent = known && known->silent;
+	struct registry_entry *known = registry_find(&entry->registry, id);
+	bool was_silent = known && known->timed_out;
 
-	known = registry_alive(&entry->registry, id, born_ms, heard_us);
-	if (known && was_silent && !known->silent)
+	known = registry_heartbeat(&entry->registry, id, born_ms, heard_us);
+	if (known && was_silent && !known->timed_out)
 		publish(entry, known);
 }
 
@@ -287,7 +289,7 @@
 	for (i = 0; i < message->n_alive; i++) {
 		const struct feed_alive *alive = &message->alive[i];
 
-		heard_alive(entry, alive->id, alive->born_ms,
+		heard_alive(entry, alive->id, alive->started_ms,
 			    entry->now_us - alive->age_us);
 	}
 }
@@ -295,16 +297,16 @@
 static void take_marks(struct entry *entry, const struct feed_marks *marks)
 {
 	int64_t heard_us = entry->now_us - marks->age_us;
-	struct registered *known;
+	struct registry_entry *known;
 	size_t i;
 
-	registry_heard(&entry->registry, heard_us);
+	registry_note_contact(&entry->registry, heard_us);
 	for (i = 0; i < feed_marks_count(marks); i++) {
-		known = registry_find_mark(&entry->registry,
-					   feed_mark_at(marks, i));
+		known = registry_find_short_id(&entry->registry,
+					       feed_mark_at(marks, i));
 		if (known)
-			heard_alive(entry, known->told.id, known->told.born_ms,
-				    heard_us);
+			heard_alive(entry, known->registration.id,
+				    known->registration.started_ms, heard_us);
 	}
 }
 
@@ -379,7 +381,7 @@
 	feed_clear(&message);
 }
 
-static void now_silent(void *data, struct registered *registered)
+static void now_silent(void *data, struct registry_entry *registered)
 {
 	publish(data, registered);
 }
@@ -410,8 +412,8 @@
 
 const char *entry_server_at(const struct entry *entry, const char *address)
 {
-	const struct registered *registered =
-		registry_at(&entry->registry, address);
+	const struct registry_entry *registered =
+		registry_find_address(&entry->registry, address);
 
-	return registered ? registered->told.id : NULL;
+	return registered ? registered->registration.id : NULL;
 }
--- a/libfilberthall/entry/entry_request.c
+++ b/libfilberthall/entry/entry_request.c
@@ -409,7 +409,7 @@
 	const struct open_call *call = call_find(entry, ended->id);
 	int64_t wall_us = wall_time_us(&entry->wall, entry->now_us);
 	struct presumed_break what = { .request = ended->id };
-	const struct registered *server = NULL;
+	const struct registry_entry *server = NULL;
 	struct router_attempt_view attempt;
 
 	if (!call || call->begun || !call->organisation[0] || !wall_us ||
@@ -418,10 +418,10 @@
 	    !presumed_possible((enum result)ended->code, ended->sent,
 			       attempt.us))
 		return;
-	server = registry_at(&entry->registry, attempt.address);
+	server = registry_find_address(&entry->registry, attempt.address);
 	if (!server)
 		return;
-	what.server = &server->told;
+	what.server = &server->registration;
 	what.organisation = call->organisation;
 	what.window = wall_us / entry->options.window_us;
 	presumed_add(&entry->presumed, &what, entry->now_us);
--- a/libfilberthall/feed/feed.c
+++ b/libfilberthall/feed/feed.c
@@ -80,7 +80,7 @@
 	pack_text(&packer, told->address);
 	pack_text(&packer, told->service);
 	pack_text(&packer, told->zone);
-	msgpack_pack_int64(&packer, told->born_ms);
+	msgpack_pack_int64(&packer, told->started_ms);
 	msgpack_pack_int64(&packer, told->sequence);
 	msgpack_pack_int64(&packer, told->slots);
 	msgpack_pack_int64(&packer, told->leaves_ms);
@@ -99,7 +99,7 @@
 	begin(&packer, out, 3 * n_alive, FEED_ALIVE);
 	for (i = 0; i < n_alive; i++) {
 		pack_text(&packer, alive[i].id);
-		msgpack_pack_int64(&packer, alive[i].born_ms);
+		msgpack_pack_int64(&packer, alive[i].started_ms);
 		msgpack_pack_int64(&packer, alive[i].age_us);
 	}
 }
@@ -115,10 +115,10 @@
 
 void feed_add_mark(struct bytes *bytes, uint64_t mark)
 {
-	char raw[REGISTRATION_MARK_BYTES];
+	char raw[REGISTRATION_SHORT_ID_BYTES];
 	int i;
 
-	for (i = 0; i < REGISTRATION_MARK_BYTES; i++)
+	for (i = 0; i < REGISTRATION_SHORT_ID_BYTES; i++)
 		raw[i] = (char)(mark >> (8 * i));
 	bytes_append(bytes, raw, sizeof(raw));
 }
@@ -126,18 +126,18 @@
 uint64_t feed_mark_at(const struct feed_marks *marks, size_t i)
 {
 	const unsigned char *raw = (const unsigned char *)marks->bytes +
-				   i * REGISTRATION_MARK_BYTES;
+				   i * REGISTRATION_SHORT_ID_BYTES;
 	uint64_t mark = 0;
 	int at;
 
-	for (at = 0; at < REGISTRATION_MARK_BYTES; at++)
+	for (at = 0; at < REGISTRATION_SHORT_ID_BYTES; at++)
 		mark |= (uint64_t)raw[at] << (8 * at);
 	return mark;
 }
 
 size_t feed_marks_count(const struct feed_marks *marks)
 {
-	return marks->len / REGISTRATION_MARK_BYTES;
+	return marks->len / REGISTRATION_SHORT_ID_BYTES;
 }
 
 void feed_write_bundle(struct bytes *out, const struct feed_bundle *bundle)
@@ -266,7 +266,7 @@
 {
 	return unpack_int(items, 1, &marks->age_us) &&
 	       unpack_bytes(items, 2, &marks->bytes, &marks->len) &&
-	       marks->len % REGISTRATION_MARK_BYTES == 0;
+	       marks->len % REGISTRATION_SHORT_ID_BYTES == 0;
 }
 
 static bool read_bundle(const struct unpacked *items,
@@ -355,7 +355,7 @@
 	       read_name(items, 2, told->address) &&
 	       read_name(items, 3, told->service) &&
 	       read_name(items, 4, told->zone) &&
-	       unpack_int(items, 5, &told->born_ms) &&
+	       unpack_int(items, 5, &told->started_ms) &&
 	       unpack_int(items, 6, &told->sequence) &&
 	       unpack_int(items, 7, &told->slots) &&
 	       unpack_int(items, 8, &told->leaves_ms) &&
@@ -379,7 +379,7 @@
 		struct feed_alive *alive = &message->alive[i];
 
 		if (!read_name(items, 3 * i + 1, alive->id) ||
-		    !unpack_int(items, 3 * i + 2, &alive->born_ms) ||
+		    !unpack_int(items, 3 * i + 2, &alive->started_ms) ||
 		    !unpack_int(items, 3 * i + 3, &alive->age_us))
 			return false;
 	}
--- a/libfilberthall/feed/feed.h
+++ b/libfilberthall/feed/feed.h
@@ -68,7 +68,7 @@
 /** One server of FEED_ALIVE. */
 struct feed_alive {
 	char id[BACKEND_NAME_SIZE];
-	int64_t born_ms;
+	int64_t started_ms;
 	int64_t age_us; /**< since it was heard */
 };
 
--- a/libfilberthall/fleet/backend.c
+++ b/libfilberthall/fleet/backend.c
@@ -267,7 +267,7 @@
 	return n;
 }
 
-void fleet_fade(struct fleet *fleet, int64_t step_us, int64_t now_us)
+void fleet_decay_load(struct fleet *fleet, int64_t step_us, int64_t now_us)
 {
 	struct backend *backend;
 	struct backend *next;
--- a/libfilberthall/fleet/backend.h
+++ b/libfilberthall/fleet/backend.h
@@ -65,8 +65,8 @@
 	bool leaving;
 	bool drained; /**< by an operator's or the system's order */
 	bool fences;
-	bool for_paced; /**< kept for paced streams (load/divide.h) */
-	bool untold;	/**< figures heard directly, not yet passed on */
+	bool for_paced;	      /**< kept for paced streams (load/divide.h) */
+	bool forward_pending; /**< figures heard directly, not yet passed on */
 	int64_t sequence;
 	int64_t lease_end_us;
 	int64_t slots;
@@ -143,7 +143,7 @@
  * service of four servers got no request from a VM any more, while its
  * callers waited out their deadlines.
  */
-void fleet_fade(struct fleet *fleet, int64_t step_us, int64_t now_us);
+void fleet_decay_load(struct fleet *fleet, int64_t step_us, int64_t now_us);
 
 /** Count an attempt that was started. */
 void backend_started(struct backend *backend, int64_t prompt_tokens,
--- a/libfilberthall/fleet/digest.c
+++ b/libfilberthall/fleet/digest.c
@@ -69,15 +69,15 @@
 	int rows = 0;
 
 	map_foreach(backend, next, &fleet->backends, node)
-		rows += backend->untold;
+		rows += backend->forward_pending;
 	if (!rows)
 		return 0;
 	pack_init(&packer, out);
 	msgpack_pack_array(&packer, (size_t)rows * DIGEST_ITEMS);
 	map_foreach(backend, next, &fleet->backends, node) {
-		if (!backend->untold)
+		if (!backend->forward_pending)
 			continue;
-		backend->untold = false;
+		backend->forward_pending = false;
 		digest_pack_row(&packer, backend, now_us);
 	}
 	return rows;
@@ -131,7 +131,7 @@
 	backend->queued = row[DIGEST_QUEUED];
 	backend->queued_prompt_tokens = row[DIGEST_QUEUED_PROMPT];
 	backend->kv_used = row[DIGEST_KV_USED];
-	backend->untold = false;
+	backend->forward_pending = false;
 	return true;
 }
 
--- a/libfilberthall/fleet/registry.c
+++ b/libfilberthall/fleet/registry.c
@@ -7,100 +7,104 @@
 
 static bool id_match(const struct map_node *node, const void *key)
 {
-	return !strcmp(container_of(node, struct registered, node)->told.id,
+	return !strcmp(container_of(node, struct registry_entry, node)
+			       ->registration.id,
 		       key);
 }
 
 static bool address_match(const struct map_node *node, const void *key)
 {
-	return !strcmp(
-		container_of(node, struct registered, place)->told.address,
-		key);
+	return !strcmp(container_of(node, struct registry_entry, address_node)
+			       ->registration.address,
+		       key);
 }
 
-static void unplace(struct registry *registry, struct registered *registered)
+static void unplace(struct registry *registry,
+		    struct registry_entry *registered)
 {
-	if (registered->placed) {
-		map_remove(&registry->by_address, &registered->place);
-		map_remove(&registry->by_mark, &registered->mark);
+	if (registered->indexed) {
+		map_remove(&registry->by_address, &registered->address_node);
+		map_remove(&registry->by_short_id, &registered->short_id_node);
 	}
-	registered->placed = false;
+	registered->indexed = false;
 }
 
-static void place(struct registry *registry, struct registered *registered)
+static void place(struct registry *registry, struct registry_entry *registered)
 {
-	map_insert(&registry->by_address, &registered->place,
-		   map_hash_text(registered->told.address));
-	map_insert(&registry->by_mark, &registered->mark,
-		   registration_mark(registered->told.id,
-				     registered->told.born_ms));
-	registered->placed = true;
+	map_insert(&registry->by_address, &registered->address_node,
+		   map_hash_text(registered->registration.address));
+	map_insert(&registry->by_short_id, &registered->short_id_node,
+		   registration_short_id(registered->registration.id,
+					 registered->registration.started_ms));
+	registered->indexed = true;
 }
 
-static void set_gone(struct registry *registry, struct registered *registered)
+static void set_gone(struct registry *registry,
+		     struct registry_entry *registered)
 {
 	unplace(registry, registered);
-	registered->told.gone = true;
+	registered->registration.gone = true;
 }
 
 void registry_init(struct registry *registry, int64_t beat_us)
 {
 	map_init(&registry->by_id);
 	map_init(&registry->by_address);
-	map_init(&registry->by_mark);
-	registry->silent_us = REGISTRY_SILENT_BEATS * beat_us;
-	if (registry->silent_us < REGISTRY_SILENT_US)
-		registry->silent_us = REGISTRY_SILENT_US;
-	registry->heard_us = INT64_MIN / 2;
+	map_init(&registry->by_short_id);
+	registry->timeout_us = REGISTRY_TIMEOUT_HEARTBEATS * beat_us;
+	if (registry->timeout_us < REGISTRY_TIMEOUT_MIN_US)
+		registry->timeout_us = REGISTRY_TIMEOUT_MIN_US;
+	registry->last_contact_us = INT64_MIN / 2;
 }
 
 void registry_clear(struct registry *registry)
 {
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 
 	map_foreach(registered, next, &registry->by_id, node)
 		free(registered);
 	map_clear(&registry->by_id);
 	map_clear(&registry->by_address);
-	map_clear(&registry->by_mark);
+	map_clear(&registry->by_short_id);
 }
 
-struct registered *registry_find(const struct registry *registry,
-				 const char *id)
+struct registry_entry *registry_find(const struct registry *registry,
+				     const char *id)
 {
 	struct map_node *node =
 		map_find(&registry->by_id, map_hash_text(id), id_match, id);
 
-	return node ? container_of(node, struct registered, node) : NULL;
+	return node ? container_of(node, struct registry_entry, node) : NULL;
 }
 
-struct registered *registry_at(const struct registry *registry,
-			       const char *address)
+struct registry_entry *registry_find_address(const struct registry *registry,
+					     const char *address)
 {
 	struct map_node *node =
 		map_find(&registry->by_address, map_hash_text(address),
 			 address_match, address);
 
-	return node ? container_of(node, struct registered, place) : NULL;
+	return node ? container_of(node, struct registry_entry, address_node)
+		    : NULL;
 }
 
 /* A start that left stays dead, whatever else arrives of it. */
-static bool is_stale(const struct registered *known,
+static bool is_stale(const struct registry_entry *known,
 		     const struct registration *told)
 {
-	if (told->born_ms != known->told.born_ms)
-		return told->born_ms < known->told.born_ms;
-	if (known->told.gone)
+	if (told->started_ms != known->registration.started_ms)
+		return told->started_ms < known->registration.started_ms;
+	if (known->registration.gone)
 		return true;
-	return !told->gone && told->sequence <= known->told.sequence;
+	return !told->gone && told->sequence <= known->registration.sequence;
 }
 
 /* Whether others must hear of it: not the figures that change at each beat. */
 static bool is_news(const struct registration *before,
 		    const struct registration *told)
 {
-	return before->born_ms != told->born_ms ||
+	return before->started_ms != told->started_ms ||
 	       before->leaving != told->leaving || before->gone != told->gone ||
 	       before->cheap != told->cheap || before->slots != told->slots ||
 	       strcmp(before->address, told->address) ||
@@ -108,24 +112,26 @@
 	       strcmp(before->zone, told->zone);
 }
 
-static void note_heard(struct registry *registry, struct registered *registered,
-		       int64_t heard_us)
+static void note_heard(struct registry *registry,
+		       struct registry_entry *registered, int64_t heard_us)
 {
-	if (heard_us > registered->heard_us)
-		registered->heard_us = heard_us;
-	if (registry->heard_us - registered->heard_us <= registry->silent_us)
-		registered->silent = false;
-	if (heard_us > registry->heard_us)
-		registry->heard_us = heard_us;
+	if (heard_us > registered->last_contact_us)
+		registered->last_contact_us = heard_us;
+	if (registry->last_contact_us - registered->last_contact_us <=
+	    registry->timeout_us)
+		registered->timed_out = false;
+	if (heard_us > registry->last_contact_us)
+		registry->last_contact_us = heard_us;
 }
 
-enum registry_outcome registry_take(struct registry *registry,
-				    const struct registration *told,
-				    int64_t heard_us,
-				    struct registered **replaced)
+enum registry_outcome registry_update(struct registry *registry,
+				      const struct registration *told,
+				      int64_t heard_us,
+				      struct registry_entry **replaced)
 {
-	struct registered *known = registry_find(registry, told->id);
-	struct registered *holder = registry_at(registry, told->address);
+	struct registry_entry *known = registry_find(registry, told->id);
+	struct registry_entry *holder =
+		registry_find_address(registry, told->address);
 	bool news;
 
 	*replaced = NULL;
@@ -134,13 +140,15 @@
 	if (holder == known)
 		holder = NULL;
 	/* A late word of a start whose address has a newer one. */
-	if (holder && !told->gone && told->born_ms < holder->told.born_ms)
+	if (holder && !told->gone &&
+	    told->started_ms < holder->registration.started_ms)
 		return REGISTRY_STALE;
-	news = !known || known->silent || is_news(&known->told, told);
+	news = !known || known->timed_out ||
+	       is_news(&known->registration, told);
 	if (!known) {
 		known = xcalloc(1, sizeof(*known));
-		memcpy(known->told.id, told->id, sizeof(told->id));
-		known->heard_us = heard_us;
+		memcpy(known->registration.id, told->id, sizeof(told->id));
+		known->last_contact_us = heard_us;
 		map_insert(&registry->by_id, &known->node,
 			   map_hash_text(told->id));
 	}
@@ -149,45 +157,49 @@
 		*replaced = holder;
 	}
 	unplace(registry, known);
-	known->told = *told;
+	known->registration = *told;
 	if (!told->gone)
 		place(registry, known);
 	note_heard(registry, known, heard_us);
-	return news ? REGISTRY_CHANGED : REGISTRY_HEARD;
+	return news ? REGISTRY_CHANGED : REGISTRY_REFRESHED;
 }
 
-struct registered *registry_leave(struct registry *registry, const char *id)
+struct registry_entry *registry_mark_gone(struct registry *registry,
+					  const char *id)
 {
-	struct registered *known = registry_find(registry, id);
+	struct registry_entry *known = registry_find(registry, id);
 
 	if (known)
 		set_gone(registry, known);
 	return known;
 }
 
-void registry_heard(struct registry *registry, int64_t heard_us)
+void registry_note_contact(struct registry *registry, int64_t heard_us)
 {
-	if (heard_us > registry->heard_us)
-		registry->heard_us = heard_us;
+	if (heard_us > registry->last_contact_us)
+		registry->last_contact_us = heard_us;
 }
 
-struct registered *registry_alive(struct registry *registry, const char *id,
-				  int64_t born_ms, int64_t heard_us)
+struct registry_entry *registry_heartbeat(struct registry *registry,
+					  const char *id, int64_t born_ms,
+					  int64_t heard_us)
 {
-	struct registered *known = registry_find(registry, id);
+	struct registry_entry *known = registry_find(registry, id);
 
-	registry_heard(registry, heard_us);
-	if (!known || known->told.born_ms != born_ms || known->told.gone)
+	registry_note_contact(registry, heard_us);
+	if (!known || known->registration.started_ms != born_ms ||
+	    known->registration.gone)
 		return NULL;
 	note_heard(registry, known, heard_us);
 	return known;
 }
 
-uint64_t registration_mark(const char *id, int64_t born_ms)
+uint64_t registration_short_id(const char *id, int64_t born_ms)
 {
 	uint64_t key[2] = { map_hash_text(id), (uint64_t)born_ms };
 
-	return map_hash(key, sizeof(key)) >> (64 - 8 * REGISTRATION_MARK_BYTES);
+	return map_hash(key, sizeof(key)) >>
+	       (64 - 8 * REGISTRATION_SHORT_ID_BYTES);
 }
 
 static bool mark_match(const struct map_node *node, const void *key)
@@ -195,49 +207,52 @@
 	return node->hash == *(const uint64_t *)key;
 }
 
-struct registered *registry_find_mark(const struct registry *registry,
-				      uint64_t mark)
+struct registry_entry *registry_find_short_id(const struct registry *registry,
+					      uint64_t mark)
 {
 	struct map_node *node =
-		map_find(&registry->by_mark, mark, mark_match, &mark);
+		map_find(&registry->by_short_id, mark, mark_match, &mark);
 
-	return node ? container_of(node, struct registered, mark) : NULL;
+	return node ? container_of(node, struct registry_entry, short_id_node)
+		    : NULL;
 }
 
-bool registered_usable(const struct registered *registered)
+bool registry_entry_usable(const struct registry_entry *registered)
 {
-	return !registered->told.gone && !registered->told.leaving &&
-	       !registered->silent;
+	return !registered->registration.gone &&
+	       !registered->registration.leaving && !registered->timed_out;
 }
 
-int registry_usable(const struct registry *registry)
+int registry_count_usable(const struct registry *registry)
 {
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 	int n = 0;
 
 	map_foreach(registered, next, &registry->by_id, node)
-		n += registered_usable(registered);
+		n += registry_entry_usable(registered);
 	return n;
 }
 
 void registry_expire(struct registry *registry, int64_t now_us,
-		     void (*silent)(void *data, struct registered *registered),
+		     void (*silent)(void *data,
+				    struct registry_entry *registered),
 		     void *data)
 {
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 
 	map_foreach(registered, next, &registry->by_id, node) {
-		if (!registered->told.gone && !registered->silent &&
-		    registry->heard_us - registered->heard_us >
-			    registry->silent_us) {
-			registered->silent = true;
+		if (!registered->registration.gone && !registered->timed_out &&
+		    registry->last_contact_us - registered->last_contact_us >
+			    registry->timeout_us) {
+			registered->timed_out = true;
 			if (silent)
 				silent(data, registered);
 		}
-		if (!registered->told.gone ||
-		    now_us - registered->heard_us < REGISTRY_DEAD_US)
+		if (!registered->registration.gone ||
+		    now_us - registered->last_contact_us <
+			    REGISTRY_TOMBSTONE_US)
 			continue;
 		map_remove(&registry->by_id, &registered->node);
 		unplace(registry, registered);
--- a/libfilberthall/usage/presumed.c
+++ b/libfilberthall/usage/presumed.c
@@ -18,7 +18,7 @@
 	struct list node;
 	uint64_t request;
 	char server[BACKEND_NAME_SIZE];
-	int64_t born_ms;
+	int64_t started_ms;
 	char organisation[BACKEND_NAME_SIZE];
 	int64_t window;
 	int64_t at_us;
@@ -56,7 +56,7 @@
 
 	item->request = what->request;
 	snprintf(item->server, sizeof(item->server), "%s", what->server->id);
-	item->born_ms = what->server->born_ms;
+	item->started_ms = what->server->started_ms;
 	snprintf(item->organisation, sizeof(item->organisation), "%s",
 		 what->organisation);
 	item->window = what->window;
@@ -77,10 +77,11 @@
 static bool heard_again(const struct presumed_item *item,
 			const struct registry *registry)
 {
-	const struct registered *server = registry_find(registry, item->server);
+	const struct registry_entry *server =
+		registry_find(registry, item->server);
 
-	return server && server->told.born_ms == item->born_ms &&
-	       server->heard_us > item->at_us + HEARD_LEAST_US;
+	return server && server->registration.started_ms == item->started_ms &&
+	       server->last_contact_us > item->at_us + HEARD_LEAST_US;
 }
 
 void presumed_tick(struct presumed *presumed, const struct registry *registry,
--- a/tests/control/group_calls.c
+++ b/tests/control/group_calls.c
@@ -182,7 +182,7 @@
 void group_register(struct group *group, int at, const char *id,
 		    int64_t sequence)
 {
-	struct registration told = { .born_ms = 100,
+	struct registration told = { .started_ms = 100,
 				     .sequence = sequence,
 				     .slots = 4 };
 	struct effects effects;
--- a/tests/entry/bed.c
+++ b/tests/entry/bed.c
@@ -179,7 +179,7 @@
 {
 	struct registration told = { .service = "desk",
 				     .zone = "z1",
-				     .born_ms = BORN_MS,
+				     .started_ms = BORN_MS,
 				     .sequence = sequence,
 				     .slots = 8,
 				     .cheap = cheap,
@@ -198,9 +198,9 @@
 	struct bytes list = { 0 };
 	struct bytes body = { 0 };
 
-	feed_add_mark(&list, registration_mark(address, BORN_MS));
+	feed_add_mark(&list, registration_short_id(address, BORN_MS));
 	if (engine)
-		feed_add_mark(&list, registration_mark("s1", BORN_MS));
+		feed_add_mark(&list, registration_short_id("s1", BORN_MS));
 	marks.bytes = list.data;
 	marks.len = list.len;
 	feed_write_marks(&body, &marks);
@@ -212,7 +212,7 @@
 {
 	struct registration told = { .service = "desk",
 				     .zone = "z1",
-				     .born_ms = BORN_MS,
+				     .started_ms = BORN_MS,
 				     .sequence = 1,
 				     .slots = 8 };
 	struct bytes body = { 0 };
@@ -251,7 +251,7 @@
 				     .address = ENGINE,
 				     .service = "desk",
 				     .zone = "z1",
-				     .born_ms = BORN_MS,
+				     .started_ms = BORN_MS,
 				     .sequence = sequence,
 				     .slots = 2,
 				     .leaving = leaving };
--- a/tests/fleet/t-digest.c
+++ b/tests/fleet/t-digest.c
@@ -30,7 +30,7 @@
 
 static void test_mark(struct fleet *fleet, const char *address)
 {
-	fleet_find(fleet, address)->untold = true;
+	fleet_find(fleet, address)->forward_pending = true;
 }
 
 static void test_note(void *data, uint64_t address_hash)
--- a/tests/fleet/t-registry.c
+++ b/tests/fleet/t-registry.c
@@ -8,7 +8,7 @@
 static struct registration told(const char *id, const char *address,
 				int64_t born_ms, int64_t sequence)
 {
-	struct registration told = { .born_ms = born_ms,
+	struct registration told = { .started_ms = born_ms,
 				     .sequence = sequence,
 				     .slots = 4 };
 
@@ -22,16 +22,16 @@
 static enum registry_outcome take(struct registry *registry,
 				  struct registration told, int64_t heard_us)
 {
-	struct registered *replaced;
+	struct registry_entry *replaced;
 
-	return registry_take(registry, &told, heard_us, &replaced);
+	return registry_update(registry, &told, heard_us, &replaced);
 }
 
 static bool usable(const struct registry *registry, const char *id)
 {
-	struct registered *registered = registry_find(registry, id);
+	struct registry_entry *registered = registry_find(registry, id);
 
-	return registered && registered_usable(registered);
+	return registered && registry_entry_usable(registered);
 }
 
 static void test_beats(void)
@@ -42,7 +42,7 @@
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 1), 0), ==,
 			REGISTRY_CHANGED);
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 2), 1), ==,
-			REGISTRY_HEARD);
+			REGISTRY_REFRESHED);
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 2), 2), ==,
 			REGISTRY_STALE);
 	g_assert_true(usable(&registry, "s1"));
@@ -65,7 +65,7 @@
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 4), 2), ==,
 			REGISTRY_STALE);
 	g_assert_false(usable(&registry, "s1"));
-	g_assert_nonnull(registry_leave(&registry, "s1"));
+	g_assert_nonnull(registry_mark_gone(&registry, "s1"));
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 9), 3), ==,
 			REGISTRY_STALE);
 	g_assert_false(usable(&registry, "s1"));
@@ -79,7 +79,7 @@
 
 	registry_init(&registry, SECOND);
 	take(&registry, told("s1", "a:1", 100, 50), 0);
-	registry_leave(&registry, "s1");
+	registry_mark_gone(&registry, "s1");
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 200, 1), 1), ==,
 			REGISTRY_CHANGED);
 	g_assert_true(usable(&registry, "s1"));
@@ -96,22 +96,24 @@
 static void test_reused_address(void)
 {
 	struct registration other = told("s2", "a:1", 200, 1);
-	struct registered *replaced;
+	struct registry_entry *replaced;
 	struct registry registry;
 
 	registry_init(&registry, SECOND);
 	take(&registry, told("s1", "a:1", 100, 7), 0);
 	g_strlcpy(other.service, "scribe", sizeof(other.service));
-	g_assert_cmpint(registry_take(&registry, &other, 1, &replaced), ==,
+	g_assert_cmpint(registry_update(&registry, &other, 1, &replaced), ==,
 			REGISTRY_CHANGED);
-	g_assert_cmpstr(replaced->told.id, ==, "s1");
+	g_assert_cmpstr(replaced->registration.id, ==, "s1");
 	g_assert_false(usable(&registry, "s1"));
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 8), 2), ==,
 			REGISTRY_STALE);
 	/* A start that nobody knew yet, older than the one at the address. */
 	g_assert_cmpint(take(&registry, told("s0", "a:1", 50, 3), 3), ==,
 			REGISTRY_STALE);
-	g_assert_cmpstr(registry_at(&registry, "a:1")->told.id, ==, "s2");
+	g_assert_cmpstr(
+		registry_find_address(&registry, "a:1")->registration.id, ==,
+		"s2");
 	registry_clear(&registry);
 }
 
@@ -123,11 +125,11 @@
 	registry_init(&registry, SECOND);
 	take(&registry, told("s1", "a:1", 100, 1), 0);
 	take(&registry, told("s2", "a:2", 100, 1), 0);
-	registry_alive(&registry, "s2", 100, 9 * SECOND);
+	registry_heartbeat(&registry, "s2", 100, 9 * SECOND);
 	registry_expire(&registry, 9 * SECOND, NULL, NULL);
 	g_assert_false(usable(&registry, "s1"));
 	g_assert_true(usable(&registry, "s2"));
-	registry_alive(&registry, "s1", 100, 10 * SECOND);
+	registry_heartbeat(&registry, "s1", 100, 10 * SECOND);
 	g_assert_true(usable(&registry, "s1"));
 	registry_clear(&registry);
 }
@@ -143,10 +145,10 @@
 	registry_init(&registry, 3 * SECOND);
 	take(&registry, told("s1", "a:1", 100, 1), 0);
 	take(&registry, told("s2", "a:2", 100, 1), 0);
-	registry_alive(&registry, "s2", 100, 10 * SECOND);
+	registry_heartbeat(&registry, "s2", 100, 10 * SECOND);
 	registry_expire(&registry, 10 * SECOND, NULL, NULL);
 	g_assert_true(usable(&registry, "s1"));
-	registry_alive(&registry, "s2", 100, 19 * SECOND);
+	registry_heartbeat(&registry, "s2", 100, 19 * SECOND);
 	registry_expire(&registry, 19 * SECOND, NULL, NULL);
 	g_assert_false(usable(&registry, "s1"));
 	registry_clear(&registry);
@@ -170,15 +172,15 @@
 }
 
 /* The living start at an address, looked for one by one. */
-static struct registered *naive_at(const struct registry *registry,
-				   const char *address)
+static struct registry_entry *naive_at(const struct registry *registry,
+				       const char *address)
 {
-	struct registered *registered;
-	struct registered *next;
+	struct registry_entry *registered;
+	struct registry_entry *next;
 
 	map_foreach(registered, next, &registry->by_id, node)
-		if (!registered->told.gone &&
-		    !strcmp(registered->told.address, address))
+		if (!registered->registration.gone &&
+		    !strcmp(registered->registration.address, address))
 			return registered;
 	return NULL;
 }
@@ -205,11 +207,11 @@
 		one.gone = !g_rand_int_range(rand, 0, 8);
 		take(&registry, one, i);
 		if (!g_rand_int_range(rand, 0, 10))
-			registry_leave(&registry, id);
+			registry_mark_gone(&registry, id);
 		if (!g_rand_int_range(rand, 0, 2000))
-			registry_expire(&registry, i + REGISTRY_DEAD_US, NULL,
-					NULL);
-		g_assert_true(registry_at(&registry, address) ==
+			registry_expire(&registry, i + REGISTRY_TOMBSTONE_US,
+					NULL, NULL);
+		g_assert_true(registry_find_address(&registry, address) ==
 			      naive_at(&registry, address));
 	}
 	registry_clear(&registry);
@@ -220,21 +222,21 @@
 static void test_marks(void)
 {
 	struct registry registry;
-	uint64_t first = registration_mark("s1", 100);
-	uint64_t second = registration_mark("s1", 200);
+	uint64_t first = registration_short_id("s1", 100);
+	uint64_t second = registration_short_id("s1", 200);
 
 	registry_init(&registry, SECOND);
 	take(&registry, told("s1", "a:1", 100, 1), 0);
 	take(&registry, told("s2", "a:2", 100, 1), 0);
-	g_assert_true(registry_find_mark(&registry, first) ==
+	g_assert_true(registry_find_short_id(&registry, first) ==
 		      registry_find(&registry, "s1"));
-	g_assert_null(registry_find_mark(&registry, second));
+	g_assert_null(registry_find_short_id(&registry, second));
 	take(&registry, told("s1", "a:1", 200, 1), 1);
-	g_assert_null(registry_find_mark(&registry, first));
-	g_assert_true(registry_find_mark(&registry, second) ==
+	g_assert_null(registry_find_short_id(&registry, first));
+	g_assert_true(registry_find_short_id(&registry, second) ==
 		      registry_find(&registry, "s1"));
-	registry_leave(&registry, "s1");
-	g_assert_null(registry_find_mark(&registry, second));
+	registry_mark_gone(&registry, "s1");
+	g_assert_null(registry_find_short_id(&registry, second));
 	registry_clear(&registry);
 }
 
--- a/tests/platform/t-platform.c
+++ b/tests/platform/t-platform.c
@@ -243,7 +243,7 @@
 	g_assert_cmpstr(told.id, ==, "i-7f");
 	g_assert_true(told.leaving);
 	g_assert_true(told.cheap);
-	g_assert_cmpint(told.born_ms, ==, 17);
+	g_assert_cmpint(told.started_ms, ==, 17);
 	g_assert_cmpint(told.leaves_ms, ==, 2300);
 }
 
