--- a/libfilberthall/core/charge.c
+++ b/libfilberthall/core/autoscaler.c
@@ -14,14 +14,15 @@
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-#define CHARGE_DEMAND_US INT64_C(2000000)
-#define CHARGE_OFFERS_US INT64_C(10000000)
-#define CHARGE_PLAN_US INT64_C(5000000)
-#define CHARGE_GIVE_UP_US INT64_C(30000000)
-#define CHARGE_CALL_MS 1000
-#define CHARGE_OFFERS_ID "offers"
-
-static struct order_situation charge_situation(const struct core *core)
+#define AUTOSCALER_DEMAND_INTERVAL_US INT64_C(2000000)
+#define AUTOSCALER_OFFERS_INTERVAL_US INT64_C(10000000)
+#define AUTOSCALER_PLAN_INTERVAL_US INT64_C(5000000)
+#define AUTOSCALER_PROPOSAL_TIMEOUT_US INT64_C(30000000)
+#define AUTOSCALER_CALL_TIMEOUT_MS 1000
+#define AUTOSCALER_OFFERS_ID "offers"
+
+static struct order_situation
+autoscaler_order_situation(const struct core *core)
 {
 	const struct lease *lease = raft_lease(core->raft);
 	struct order_situation situation = { 0 };
@@ -35,7 +36,7 @@
 	return situation;
 }
 
-static void charge_place(void *data, const json_t *order)
+static void autoscaler_propose_order(void *data, const json_t *order)
 {
 	struct core *core = data;
 	struct entry_head head = consensus_head(core);
@@ -43,11 +44,12 @@
 
 	entry_order(&entry, &head, order);
 	propose_entry(core, head.ticket, &entry,
-		      core->now_us + CHARGE_GIVE_UP_US);
+		      core->now_us + AUTOSCALER_PROPOSAL_TIMEOUT_US);
 }
 
-static void charge_settle(void *data, const char *order_id, const char *state,
-			  const char *address)
+static void autoscaler_propose_settlement(void *data, const char *order_id,
+					  const char *state,
+					  const char *address)
 {
 	struct core *core = data;
 	struct entry_head head = consensus_head(core);
@@ -55,16 +57,17 @@
 
 	entry_order_settled(&entry, &head, order_id, state, address);
 	propose_entry(core, head.ticket, &entry,
-		      core->now_us + CHARGE_GIVE_UP_US);
+		      core->now_us + AUTOSCALER_PROPOSAL_TIMEOUT_US);
 }
 
-static void charge_mark_everywhere(void *data, const char *address,
-				   bool drained)
+static void autoscaler_drain_everywhere(void *data, const char *address,
+					bool drained)
 {
 	gossip_drain(data, address, drained);
 }
 
-static void charge_mark_here(void *data, const char *address, bool drained)
+static void autoscaler_drain_locally(void *data, const char *address,
+				     bool drained)
 {
 	struct core *core = data;
 
@@ -72,7 +75,7 @@
 	core->fleet_updated = true;
 }
 
-static void charge_move(void *data, const char *address)
+static void autoscaler_move_requests(void *data, const char *address)
 {
 	struct core *core = data;
 
@@ -80,11 +83,11 @@
 }
 
 /* A drained server is stopped by an order of its own. */
-static void charge_order_stop(void *data, const char *address)
+static void autoscaler_order_stop(void *data, const char *address)
 {
 	struct core *core = data;
 	const struct backend *backend = fleet_find(&core->fleet, address);
-	struct order_situation situation = charge_situation(core);
+	struct order_situation situation = autoscaler_order_situation(core);
 	struct target_step step = { .address = address };
 
 	if (!backend)
@@ -97,12 +100,14 @@
 	orders_place(core->orders, &situation, &step);
 }
 
-void charge_new(struct core *core)
+void autoscaler_new(struct core *core)
 {
-	struct order_hooks orders = { charge_place, charge_settle, core };
-	struct drain_hooks drains = { charge_mark_everywhere, charge_order_stop,
-				      core };
-	struct reclaim_hooks reclaims = { charge_mark_here, charge_move, core };
+	struct order_hooks orders = { autoscaler_propose_order,
+				      autoscaler_propose_settlement, core };
+	struct drain_hooks drains = { autoscaler_drain_everywhere,
+				      autoscaler_order_stop, core };
+	struct reclaim_hooks reclaims = { autoscaler_drain_locally,
+					  autoscaler_move_requests, core };
 
 	core->demand = demand_new();
 	core->target = target_new();
@@ -112,7 +117,7 @@
 	core->spend = spend_new();
 }
 
-void charge_free(struct core *core)
+void autoscaler_free(struct core *core)
 {
 	spend_free(core->spend);
 	reclaims_free(core->reclaims);
@@ -122,8 +127,8 @@
 	demand_free(core->demand);
 }
 
-static void charge_served(void *data, const char *team, int64_t requests,
-			  int64_t attained)
+static void autoscaler_count_served(void *data, const char *team,
+				    int64_t requests, int64_t attained)
 {
 	struct core *core = data;
 	int64_t i;
@@ -132,33 +137,36 @@
 		spend_count(core->spend, team, i < attained);
 }
 
-void charge_demand(struct core *core, uint64_t member, const char *data,
-		   size_t len)
+void autoscaler_receive_demand(struct core *core, uint64_t member,
+			       const char *data, size_t len)
 {
 	if (demand_read(core->demand, member, data, len, core->now_us,
-			charge_served, core))
+			autoscaler_count_served, core))
 		core_log(core, LOG_WARN, "charge",
 			 "demand of member %llx can't be read",
 			 (unsigned long long)member);
 }
 
-static void charge_tell_demand(struct core *core)
+static void autoscaler_send_demand(struct core *core)
 {
 	uint64_t leader = raft_leader(core->raft);
 	struct bytes message = { 0 };
 
-	if (!leader || core->now_us - core->demand_us < CHARGE_DEMAND_US)
+	if (!leader ||
+	    core->now_us - core->demand_sent_us < AUTOSCALER_DEMAND_INTERVAL_US)
 		return;
-	core->demand_us = core->now_us;
+	core->demand_sent_us = core->now_us;
 	demand_write(core->demand, core->router, &message);
 	if (leader == core->options.self)
-		charge_demand(core, leader, message.data, message.len);
+		autoscaler_receive_demand(core, leader, message.data,
+					  message.len);
 	else
 		gossip_demand(core, leader, &message);
 	bytes_clear(&message);
 }
 
-void charge_notice(struct core *core, const char *zone, int64_t in_us)
+void autoscaler_reclaim_notice(struct core *core, const char *zone,
+			       int64_t in_us)
 {
 	core_log(core, LOG_WARN, "charge",
 		 "cheap backend servers of %s are reclaimed in %lld ms", zone,
@@ -169,7 +177,8 @@
 	core->planned_us = 0;
 }
 
-static void charge_take_notice(struct core *core, const struct bytes *body)
+static void autoscaler_handle_notice(struct core *core,
+				     const struct bytes *body)
 {
 	json_t *root = json_loadb(body->data, body->len, 0, NULL);
 	const char *zone = json_string_value(json_object_get(root, "zone"));
@@ -180,7 +189,8 @@
 	json_decref(root);
 }
 
-static void charge_take_offers(struct core *core, const struct bytes *body)
+static void autoscaler_handle_offers(struct core *core,
+				     const struct bytes *body)
 {
 	json_t *list = json_loadb(body->data, body->len, 0, NULL);
 	json_t *offer;
@@ -204,34 +214,36 @@
 	json_decref(list);
 }
 
-void charge_answer(struct core *core, const struct event_platform *platform)
+void autoscaler_platform_answer(struct core *core,
+				const struct event_platform *platform)
 {
-	struct order_situation situation = charge_situation(core);
+	struct order_situation situation = autoscaler_order_situation(core);
 
 	if (!platform->order_id)
-		charge_take_notice(core, &platform->body);
-	else if (strcmp(platform->order_id, CHARGE_OFFERS_ID))
+		autoscaler_handle_notice(core, &platform->body);
+	else if (strcmp(platform->order_id, AUTOSCALER_OFFERS_ID))
 		orders_answer(core->orders, &situation, platform, core->target);
 	else if (!platform->code)
-		charge_take_offers(core, &platform->body);
+		autoscaler_handle_offers(core, &platform->body);
 }
 
-static void charge_ask_offers(struct core *core)
+static void autoscaler_request_offers(struct core *core)
 {
 	struct effect_platform_call *call;
 
-	if (core->offers_us &&
-	    core->now_us - core->offers_us < CHARGE_OFFERS_US)
+	if (core->offers_requested_us &&
+	    core->now_us - core->offers_requested_us <
+		    AUTOSCALER_OFFERS_INTERVAL_US)
 		return;
-	core->offers_us = core->now_us;
+	core->offers_requested_us = core->now_us;
 	call = &effects_add(core->effects, EFFECT_PLATFORM_CALL)
 			->u.platform_call;
-	call->order_id = xstrdup(CHARGE_OFFERS_ID);
+	call->order_id = xstrdup(AUTOSCALER_OFFERS_ID);
 	call->verb = xstrdup("offers");
-	call->timeout_ms = CHARGE_CALL_MS;
+	call->timeout_ms = AUTOSCALER_CALL_TIMEOUT_MS;
 }
 
-static void charge_note_demand(void *data, const struct demand_sum *sum)
+static void autoscaler_add_demand(void *data, const struct demand_sum *sum)
 {
 	struct core *core = data;
 
@@ -239,10 +251,10 @@
 			   sum->reclaimable, core->now_us);
 }
 
-static void charge_take_step(void *data, const struct target_step *step)
+static void autoscaler_apply_step(void *data, const struct target_step *step)
 {
 	struct core *core = data;
-	struct order_situation situation = charge_situation(core);
+	struct order_situation situation = autoscaler_order_situation(core);
 
 	if (!step->start) {
 		core_log(core, LOG_INFO, "charge", "plan: stop %s",
@@ -257,20 +269,20 @@
 	orders_place(core->orders, &situation, step);
 }
 
-static void charge_plan(struct core *core)
+static void autoscaler_plan(struct core *core)
 {
 	if (!orders_ready(core->orders) ||
 	    (core->planned_us &&
-	     core->now_us - core->planned_us < CHARGE_PLAN_US))
+	     core->now_us - core->planned_us < AUTOSCALER_PLAN_INTERVAL_US))
 		return;
 	core->planned_us = core->now_us;
-	charge_read_settings(core);
-	demand_visit(core->demand, core->now_us, charge_note_demand, core);
+	autoscaler_read_settings(core);
+	demand_visit(core->demand, core->now_us, autoscaler_add_demand, core);
 	target_plan(core->target, &core->fleet, agreed_orders(core->agreed),
-		    core->now_us, charge_take_step, core);
+		    core->now_us, autoscaler_apply_step, core);
 }
 
-static struct drain_policy charge_drain_policy(const struct core *core)
+static struct drain_policy autoscaler_drain_policy(const struct core *core)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	struct drain_policy policy;
@@ -284,55 +296,56 @@
 	return policy;
 }
 
-static void charge_run(struct core *core)
+static void autoscaler_run(struct core *core)
 {
-	struct order_situation situation = charge_situation(core);
-	struct drain_policy policy = charge_drain_policy(core);
+	struct order_situation situation = autoscaler_order_situation(core);
+	struct drain_policy policy = autoscaler_drain_policy(core);
 
-	charge_ask_offers(core);
+	autoscaler_request_offers(core);
 	orders_tick(core->orders, &situation, core->effects);
 	drains_tick(core->drains, &core->fleet, &policy, core->now_us);
 	spend_tick(core->spend, &core->fleet, core->target, core->now_us);
-	charge_plan(core);
+	autoscaler_plan(core);
 }
 
-void charge_tick(struct core *core)
+void autoscaler_tick(struct core *core)
 {
 	bool in_charge =
 		core->options.platform &&
 		lease_may_order(raft_lease(core->raft),
-				CHARGE_CALL_MS * INT64_C(1000), core->now_us);
+				AUTOSCALER_CALL_TIMEOUT_MS * INT64_C(1000),
+				core->now_us);
 
-	if (in_charge != core->in_charge) {
+	if (in_charge != core->holds_lease) {
 		core_log(core, LOG_INFO, "charge", "%s",
 			 in_charge ? "in charge" : "no longer in charge");
 		orders_reset(core->orders);
-		core->offers_us = 0;
+		core->offers_requested_us = 0;
 		core->planned_us = 0;
 	}
-	core->in_charge = in_charge;
-	charge_tell_demand(core);
+	core->holds_lease = in_charge;
+	autoscaler_send_demand(core);
 	reclaims_tick(core->reclaims, &core->fleet, core->now_us);
 	if (in_charge)
-		charge_run(core);
+		autoscaler_run(core);
 }
 
-void charge_stop(struct core *core, const char *address)
+void autoscaler_stop_backend(struct core *core, const char *address)
 {
 	drains_begin(core->drains, &core->fleet, address, core->now_us);
 }
 
-bool charge_unstop(struct core *core, const char *address)
+bool autoscaler_cancel_stop(struct core *core, const char *address)
 {
 	return drains_cancel(core->drains, address);
 }
 
-json_t *charge_describe_spend(const struct core *core)
+json_t *autoscaler_describe_spend(const struct core *core)
 {
 	return spend_describe(core->spend);
 }
 
-json_t *charge_describe_drains(const struct core *core)
+json_t *autoscaler_describe_drains(const struct core *core)
 {
 	return drains_describe(core->drains, core->now_us);
 }
--- a/libfilberthall/core/charge_settings.c
+++ b/libfilberthall/core/autoscaler_settings.c
@@ -8,21 +8,21 @@
 #include "core/core_state.h"
 
 /* Slots of a server that hasn't announced itself yet. */
-#define CHARGE_SLOTS_UNKNOWN 16
+#define AUTOSCALER_DEFAULT_SLOTS 16
 
-#define CHARGE_MODEL "site/fleet/model/"
-#define CHARGE_SERVICE "site/fleet/service/"
-#define CHARGE_ZONE "site/fleet/zone/"
-#define CHARGE_TEAM "team/"
-#define CHARGE_BUDGET "/budget"
+#define AUTOSCALER_MODEL_PREFIX "site/fleet/model/"
+#define AUTOSCALER_SERVICE_PREFIX "site/fleet/service/"
+#define AUTOSCALER_ZONE_PREFIX "site/fleet/zone/"
+#define AUTOSCALER_TEAM_PREFIX "team/"
+#define AUTOSCALER_BUDGET_SUFFIX "/budget"
 
-static bool charge_starts(const char *path, const char *prefix)
+static bool autoscaler_has_prefix(const char *path, const char *prefix)
 {
 	return !strncmp(path, prefix, strlen(prefix));
 }
 
-static void charge_read_pool(struct core *core, const char *path,
-			     const char *name, bool is_service)
+static void autoscaler_read_pool(struct core *core, const char *path,
+				 const char *name, bool is_service)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	struct target_pool pool = { 0 };
@@ -34,12 +34,12 @@
 	pool.min = (int64_t)rules_number(settings, path, "min");
 	pool.max = (int64_t)rules_number(settings, path, "max");
 	pool.cheap_share = rules_number(settings, path, "cheap_share");
-	pool.slots = CHARGE_SLOTS_UNKNOWN;
+	pool.slots = AUTOSCALER_DEFAULT_SLOTS;
 	target_set_pool(core->target, &pool);
 }
 
-static void charge_read_zone(struct core *core, const char *path,
-			     const char *name)
+static void autoscaler_read_zone(struct core *core, const char *path,
+				 const char *name)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 
@@ -49,13 +49,14 @@
 }
 
 /* "team/NAME/budget" */
-static void charge_read_budget(struct core *core, const char *path)
+static void autoscaler_read_budget(struct core *core, const char *path)
 {
-	const char *name = path + strlen(CHARGE_TEAM);
+	const char *name = path + strlen(AUTOSCALER_TEAM_PREFIX);
 	const char *end = strchr(name, '/');
 	char team[RULE_NAME_SIZE];
 
-	if (!end || strcmp(end, CHARGE_BUDGET) || end - name >= RULE_NAME_SIZE)
+	if (!end || strcmp(end, AUTOSCALER_BUDGET_SUFFIX) ||
+	    end - name >= RULE_NAME_SIZE)
 		return;
 	snprintf(team, sizeof(team), "%.*s", (int)(end - name), name);
 	target_set_budget(core->target, team,
@@ -63,26 +64,29 @@
 				       "per_hour"));
 }
 
-static void charge_read_path(void *data, const char *path, json_t *value,
-			     int64_t version)
+static void autoscaler_read_path(void *data, const char *path, json_t *value,
+				 int64_t version)
 {
 	struct core *core = data;
 
 	(void)value;
 	(void)version;
-	if (charge_starts(path, CHARGE_MODEL))
-		charge_read_pool(core, path, path + strlen(CHARGE_MODEL),
-				 false);
-	else if (charge_starts(path, CHARGE_SERVICE))
-		charge_read_pool(core, path, path + strlen(CHARGE_SERVICE),
-				 true);
-	else if (charge_starts(path, CHARGE_ZONE))
-		charge_read_zone(core, path, path + strlen(CHARGE_ZONE));
-	else if (charge_starts(path, CHARGE_TEAM))
-		charge_read_budget(core, path);
+	if (autoscaler_has_prefix(path, AUTOSCALER_MODEL_PREFIX))
+		autoscaler_read_pool(core, path,
+				     path + strlen(AUTOSCALER_MODEL_PREFIX),
+				     false);
+	else if (autoscaler_has_prefix(path, AUTOSCALER_SERVICE_PREFIX))
+		autoscaler_read_pool(core, path,
+				     path + strlen(AUTOSCALER_SERVICE_PREFIX),
+				     true);
+	else if (autoscaler_has_prefix(path, AUTOSCALER_ZONE_PREFIX))
+		autoscaler_read_zone(core, path,
+				     path + strlen(AUTOSCALER_ZONE_PREFIX));
+	else if (autoscaler_has_prefix(path, AUTOSCALER_TEAM_PREFIX))
+		autoscaler_read_budget(core, path);
 }
 
-void charge_read_settings(struct core *core)
+void autoscaler_read_settings(struct core *core)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	static const char path[] = "site/fleet/policy";
@@ -96,5 +100,5 @@
 		(int64_t)(1e6 * rules_number(settings, path, "shrink_after_s"));
 	policy.survive_zone = rules_number(settings, path, "survive_zone") != 0;
 	target_set_policy(core->target, &policy);
-	settings_visit(settings, charge_read_path, core);
+	settings_visit(settings, autoscaler_read_path, core);
 }
--- a/libfilberthall/core/billing.c
+++ b/libfilberthall/core/billing.c
@@ -110,7 +110,8 @@
 	bytes_clear(&reply);
 }
 
-void billing_answer(struct core *core, const struct event_platform *platform)
+void billing_platform_answer(struct core *core,
+			     const struct event_platform *platform)
 {
 	struct entry_head head;
 	struct bytes entry = { 0 };
--- a/libfilberthall/core/consensus.c
+++ b/libfilberthall/core/consensus.c
@@ -89,7 +89,7 @@
 {
 	return applied->origin == core->options.self &&
 	       (applied->incarnation == (uint64_t)core->options.incarnation ||
-		applied->incarnation == core->owner);
+		applied->incarnation == core->claim_owner);
 }
 
 static void consensus_settle(struct core *core, const struct applied *applied)
@@ -107,8 +107,8 @@
 		 */
 		if (outcome->code == RESULT_CONFLICT &&
 		    outcome->verb == CLAIM_VERB_OPEN &&
-		    applied->incarnation == core->owner)
-			core->owner++;
+		    applied->incarnation == core->claim_owner)
+			core->claim_owner++;
 		request_claim_outcome(core, outcome);
 	}
 	proposal = propose_find(core, applied->ticket);
--- a/libfilberthall/core/core.c
+++ b/libfilberthall/core/core.c
@@ -94,21 +94,21 @@
 
 	core_copy_options(core, options);
 	core->rng.state = options->seed;
-	core->owner = CORE_OWNER_FIRST(options->incarnation);
+	core->claim_owner = CORE_OWNER_FIRST(options->incarnation);
 	core->now_us = now_us;
 	core->effects = effects;
-	core->members_told = -1;
+	core->links_members_index = -1;
 	map_init(&core->requests);
 	map_init(&core->peers);
-	list_init(&core->pending);
+	list_init(&core->claim_waiters);
 	list_init(&core->proposals);
-	list_init(&core->admin_calls);
+	list_init(&core->pending_calls);
 	fleet_init(&core->fleet);
 	core->metrics = metrics_new();
 	core->agreed = agreed_new();
 	core->usage = usage_new(options->self, options->incarnation);
 	core->report = report_new();
-	charge_new(core);
+	autoscaler_new(core);
 	core_make_raft(core, now_us);
 	core_make_router(core);
 	code = raft_restore(core->raft, saved);
@@ -128,12 +128,12 @@
 {
 	struct proposal *proposal;
 	struct proposal *next_proposal;
-	struct admin_call *call;
-	struct admin_call *next_call;
+	struct pending_call *call;
+	struct pending_call *next_call;
 
 	list_foreach_safe(proposal, next_proposal, &core->proposals, node)
 		propose_free(proposal);
-	list_foreach_safe(call, next_call, &core->admin_calls, node)
+	list_foreach_safe(call, next_call, &core->pending_calls, node)
 		free(call);
 }
 
@@ -149,7 +149,7 @@
 	agreed_free(core->agreed);
 	usage_free(core->usage);
 	report_free(core->report);
-	charge_free(core);
+	autoscaler_free(core);
 	metrics_free(core->metrics);
 	fleet_clear(&core->fleet);
 	free((char *)core->options.vm);
@@ -190,12 +190,12 @@
 
 static void core_stop(struct core *core, const struct event_stop *stop)
 {
-	if (core->stop_by_us) {
+	if (core->stop_deadline_us) {
 		/* Asked a second time: whoever asks won't wait any longer. */
-		core->stop_by_us = core->now_us;
+		core->stop_deadline_us = core->now_us;
 		return;
 	}
-	core->stop_by_us = core->now_us + stop->grace_ms * 1000;
+	core->stop_deadline_us = core->now_us + stop->grace_ms * 1000;
 	core_log(core, LOG_INFO, "core",
 		 "stopping: no new requests, %lld running",
 		 (long long)router_load(core->router));
@@ -208,11 +208,11 @@
 {
 	bool done;
 
-	if (!core->stop_by_us || core->exited)
+	if (!core->stop_deadline_us || core->exited)
 		return;
 	done = !router_load(core->router) && list_empty(&core->proposals) &&
 	       raft_transfer_done(core->raft);
-	if (!done && core->now_us < core->stop_by_us)
+	if (!done && core->now_us < core->stop_deadline_us)
 		return;
 	core->exited = true;
 	core_log(core, done ? LOG_INFO : LOG_WARN, "core",
@@ -222,8 +222,8 @@
 
 static void core_update_health(struct core *core)
 {
-	bool healthy = !core->stop_by_us && consensus_is_fresh(core);
-	bool second = core->now_us - core->second_us >= CORE_SECOND_US;
+	bool healthy = !core->stop_deadline_us && consensus_is_fresh(core);
+	bool second = core->now_us - core->slow_tick_us >= CORE_SECOND_US;
 
 	if (healthy != core->healthy)
 		core_log(core, healthy ? LOG_INFO : LOG_WARN, "core",
@@ -236,7 +236,7 @@
 	status_publish(core);
 	if (!second)
 		return;
-	core->second_us = core->now_us;
+	core->slow_tick_us = core->now_us;
 	consensus_second(core);
 }
 
@@ -250,7 +250,7 @@
 	request_expire(core);
 	in_force_tick(core);
 	billing_tick(core);
-	charge_tick(core);
+	autoscaler_tick(core);
 	core_update_health(core);
 	core_try_exit(core);
 }
@@ -307,8 +307,8 @@
 		operator_call(core, &event->u.admin);
 		break;
 	case EVENT_PLATFORM:
-		billing_answer(core, &event->u.platform);
-		charge_answer(core, &event->u.platform);
+		billing_platform_answer(core, &event->u.platform);
+		autoscaler_platform_answer(core, &event->u.platform);
 		break;
 	case EVENT_STOP:
 		core_stop(core, &event->u.stop);
--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -43,8 +43,9 @@
 
 struct caller_request {
 	struct map_node node; /**< core.requests, by id */
-	struct list pending; /**< core.pending, while its claim isn't its own */
-	struct event *event; /**< EVENT_REQUEST, owned */
+	struct list
+		claim_waiters_node; /**< core.pending, while its claim isn't its own */
+	struct event *event;	    /**< EVENT_REQUEST, owned */
 	enum request_state state;
 	char *key_id;
 	char *organisation;
@@ -79,7 +80,7 @@
 };
 
 /** An operator's call that waits for the leader or for all daemons. */
-struct admin_call {
+struct pending_call {
 	struct list node;
 	uint64_t id;	    /**< of the listener, or a forwarded ticket */
 	uint64_t peer;	    /**< whom to answer, 0 for this listener */
@@ -108,24 +109,24 @@
 	struct spend *spend;
 	struct map requests;
 	struct map peers;
-	struct list pending; /**< requests that wait for a claim */
+	struct list claim_waiters; /**< requests that wait for a claim */
 	struct list proposals;
-	struct list admin_calls;
+	struct list pending_calls;
 	uint64_t next_ticket;
-	uint64_t owner; /**< incarnation under which claims are opened */
-	uint64_t allocator_told; /**< leader that the router knows of */
-	int64_t members_told;	 /**< index of the configuration acted upon */
-	int64_t peers_version;	 /**< grows as peers come and go */
-	int64_t peers_told;
+	uint64_t claim_owner; /**< incarnation under which claims are opened */
+	uint64_t router_leader;	     /**< leader that the router knows of */
+	int64_t links_members_index; /**< index of the configuration acted upon */
+	int64_t peers_version;	     /**< grows as peers come and go */
+	int64_t router_peers_version;
 	int64_t wall_us;
-	int64_t second_us;	/**< when the slow duties ran last */
-	int64_t demand_us;	/**< when demand was last told */
-	int64_t digest_us;	/**< when figures were last passed on */
-	int64_t offers_us;	/**< when offers were last asked for */
-	int64_t planned_us;	/**< when the fleet was last planned */
-	bool in_charge;		/**< at the last tick */
-	uint64_t window_ticket; /**< of the last window proposed */
-	int64_t stop_by_us;	/**< 0 unless stopping */
+	int64_t slow_tick_us;	     /**< when the slow duties ran last */
+	int64_t demand_sent_us;	     /**< when demand was last told */
+	int64_t digest_sent_us;	     /**< when figures were last passed on */
+	int64_t offers_requested_us; /**< when offers were last asked for */
+	int64_t planned_us;	     /**< when the fleet was last planned */
+	bool holds_lease;	     /**< at the last tick */
+	uint64_t window_ticket;	     /**< of the last window proposed */
+	int64_t stop_deadline_us;    /**< 0 unless stopping */
 	bool seeded;
 	bool fleet_updated; /**< the router has still to look again */
 	bool exited;
@@ -200,8 +201,8 @@
 		      const struct applied *applied);
 void operator_lost(struct core *core, struct proposal *proposal);
 
-/* in_force.c: calls that wait until a change is in force everywhere */
-void in_force_wait(struct core *core, struct admin_call *waiting,
+/* pending_call.c: calls that wait until a change is in force everywhere */
+void in_force_wait(struct core *core, struct pending_call *waiting,
 		   const struct bytes *args);
 void in_force_tick(struct core *core);
 void operator_answer(struct core *core, uint64_t peer, uint64_t id,
@@ -242,23 +243,26 @@
 void billing_tick(struct core *core);
 void billing_message(struct core *core, uint64_t peer,
 		     const struct bytes *body);
-void billing_answer(struct core *core, const struct event_platform *platform);
+void billing_platform_answer(struct core *core,
+			     const struct event_platform *platform);
 
-/* charge.c: the fleet's plan, orders, stops and cost */
-void charge_new(struct core *core);
-void charge_free(struct core *core);
-void charge_tick(struct core *core);
-void charge_notice(struct core *core, const char *zone, int64_t in_us);
-void charge_demand(struct core *core, uint64_t member, const char *data,
-		   size_t len);
-void charge_answer(struct core *core, const struct event_platform *platform);
-void charge_stop(struct core *core, const char *address);
-bool charge_unstop(struct core *core, const char *address);
-json_t *charge_describe_spend(const struct core *core);
-json_t *charge_describe_drains(const struct core *core);
+/* autoscaler.c: the fleet's plan, orders, stops and cost */
+void autoscaler_new(struct core *core);
+void autoscaler_free(struct core *core);
+void autoscaler_tick(struct core *core);
+void autoscaler_reclaim_notice(struct core *core, const char *zone,
+			       int64_t in_us);
+void autoscaler_receive_demand(struct core *core, uint64_t member,
+			       const char *data, size_t len);
+void autoscaler_platform_answer(struct core *core,
+				const struct event_platform *platform);
+void autoscaler_stop_backend(struct core *core, const char *address);
+bool autoscaler_cancel_stop(struct core *core, const char *address);
+json_t *autoscaler_describe_spend(const struct core *core);
+json_t *autoscaler_describe_drains(const struct core *core);
 
-/* charge_settings.c: what the settings say of the fleet */
-void charge_read_settings(struct core *core);
+/* autoscaler_settings.c: what the settings say of the fleet */
+void autoscaler_read_settings(struct core *core);
 
 /** This daemon as a member. */
 void core_fill_member(const struct core *core, struct member *member);
--- a/libfilberthall/core/gossip.c
+++ b/libfilberthall/core/gossip.c
@@ -117,9 +117,9 @@
 	struct bytes body = { 0 };
 	msgpack_packer packer;
 
-	if (core->now_us - core->digest_us < every_us)
+	if (core->now_us - core->digest_sent_us < every_us)
 		return;
-	core->digest_us = core->now_us;
+	core->digest_sent_us = core->now_us;
 	if (!digest_write(&core->fleet, core->now_us, &rows))
 		return;
 	pack_init(&packer, &body);
@@ -252,7 +252,7 @@
 	struct bytes body = { 0 };
 	msgpack_packer packer;
 
-	charge_notice(core, zone, in_us);
+	autoscaler_reclaim_notice(core, zone, in_us);
 	pack_init(&packer, &body);
 	msgpack_pack_array(&packer, 3);
 	msgpack_pack_int(&packer, GOSSIP_NOTICE);
@@ -269,7 +269,7 @@
 	size_t len;
 
 	if (unpack_bytes(message, 1, &data, &len))
-		charge_demand(core, peer, data, len);
+		autoscaler_receive_demand(core, peer, data, len);
 }
 
 static void gossip_take_notice(struct core *core,
@@ -280,7 +280,7 @@
 	int64_t in_us;
 
 	if (zone && unpack_int(message, 2, &in_us))
-		charge_notice(core, zone, in_us);
+		autoscaler_reclaim_notice(core, zone, in_us);
 }
 
 static void gossip_take_announce(struct core *core,
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -68,17 +68,17 @@
 	operator_answer(core, call->peer, call->id, code, answer);
 }
 
-static struct admin_call *operator_wait(struct core *core,
-					const struct operator_call *call,
-					int64_t give_up_us)
+static struct pending_call *operator_wait(struct core *core,
+					  const struct operator_call *call,
+					  int64_t give_up_us)
 {
-	struct admin_call *waiting = xcalloc(1, sizeof(*waiting));
+	struct pending_call *waiting = xcalloc(1, sizeof(*waiting));
 
 	waiting->id = call->id;
 	waiting->peer = call->peer;
 	waiting->started_us = core->now_us;
 	waiting->give_up_us = core->now_us + give_up_us;
-	list_append(&core->admin_calls, &waiting->node);
+	list_append(&core->pending_calls, &waiting->node);
 	return waiting;
 }
 
@@ -191,7 +191,7 @@
 static void operator_wait_index(struct core *core,
 				const struct operator_call *call)
 {
-	struct admin_call *waiting;
+	struct pending_call *waiting;
 
 	waiting = operator_wait(core, call, OPERATOR_WAIT_MOST_US);
 	in_force_wait(core, waiting, call->body);
@@ -225,25 +225,25 @@
 	if (!address || !fleet_find(&core->fleet, address)) {
 		operator_refuse(core, call, RESULT_NOT_FOUND,
 				"address: no such backend server");
-	} else if (undo && !charge_unstop(core, address)) {
+	} else if (undo && !autoscaler_cancel_stop(core, address)) {
 		operator_refuse(core, call, RESULT_CONFLICT,
 				"the stop was ordered already, or never asked "
 				"for");
 	} else {
 		if (!undo)
-			charge_stop(core, address);
+			autoscaler_stop_backend(core, address);
 		operator_answer(core, call->peer, call->id, RESULT_OK,
 				json_pack("{s:o}", "stops",
-					  charge_describe_drains(core)));
+					  autoscaler_describe_drains(core)));
 	}
 	json_decref(args);
 }
 
 static void operator_spend(struct core *core, const struct operator_call *call)
 {
-	json_t *answer = charge_describe_spend(core);
+	json_t *answer = autoscaler_describe_spend(core);
 
-	json_object_set_new(answer, "stops", charge_describe_drains(core));
+	json_object_set_new(answer, "stops", autoscaler_describe_drains(core));
 	operator_answer(core, call->peer, call->id, RESULT_OK, answer);
 }
 
@@ -309,7 +309,7 @@
 			       const struct operator_call *call)
 {
 	uint64_t leader = raft_leader(core->raft);
-	struct admin_call *waiting;
+	struct pending_call *waiting;
 
 	if (!leader || call->peer) {
 		operator_refuse(core, call, RESULT_NOT_LEADER,
@@ -402,10 +402,10 @@
 void operator_answered(struct core *core, uint64_t ticket, enum result code,
 		       const struct bytes *body)
 {
-	struct admin_call *waiting;
+	struct pending_call *waiting;
 	json_t *answer;
 
-	list_foreach(waiting, &core->admin_calls, node) {
+	list_foreach(waiting, &core->pending_calls, node) {
 		if (waiting->ticket != ticket)
 			continue;
 		answer = json_loadb(body->data, body->len, 0, NULL);
--- a/libfilberthall/core/peers.c
+++ b/libfilberthall/core/peers.c
@@ -175,9 +175,9 @@
 	const struct members *members = raft_members(core->raft);
 	size_t i;
 
-	if (raft_members_index(core->raft) == core->members_told)
+	if (raft_members_index(core->raft) == core->links_members_index)
 		return;
-	core->members_told = raft_members_index(core->raft);
+	core->links_members_index = raft_members_index(core->raft);
 	for (i = 0; i < members->count; i++) {
 		const struct member *member = &members->items[i];
 
@@ -213,11 +213,11 @@
 	uint64_t ids[MEMBER_MAX];
 	int n;
 
-	if (leader == core->allocator_told &&
-	    core->peers_version == core->peers_told)
+	if (leader == core->router_leader &&
+	    core->peers_version == core->router_peers_version)
 		return;
-	core->allocator_told = leader;
-	core->peers_told = core->peers_version;
+	core->router_leader = leader;
+	core->router_peers_version = core->peers_version;
 	n = peers_live(core, ids, MEMBER_MAX);
 	router_peers(core->router, leader, ids, n, core->now_us);
 	usage_peers(core->usage, leader == core->options.self ? 0 : leader,
--- a/libfilberthall/core/in_force.c
+++ b/libfilberthall/core/pending_call.c
@@ -28,7 +28,7 @@
 	return silent;
 }
 
-static void in_force_tell(struct core *core, struct admin_call *waiting,
+static void in_force_tell(struct core *core, struct pending_call *waiting,
 			  enum result code)
 {
 	size_t members = 0;
@@ -47,7 +47,7 @@
 }
 
 /* Whether a waiting call can be answered now. */
-static bool in_force_settle(struct core *core, struct admin_call *waiting)
+static bool in_force_settle(struct core *core, struct pending_call *waiting)
 {
 	size_t members = 0;
 	size_t applied;
@@ -78,7 +78,7 @@
 	return true;
 }
 
-void in_force_wait(struct core *core, struct admin_call *waiting,
+void in_force_wait(struct core *core, struct pending_call *waiting,
 		   const struct bytes *args)
 {
 	json_t *root = json_loadb(args->data, args->len, 0, NULL);
@@ -91,10 +91,10 @@
 
 void in_force_tick(struct core *core)
 {
-	struct admin_call *waiting;
-	struct admin_call *next;
+	struct pending_call *waiting;
+	struct pending_call *next;
 
-	list_foreach_safe(waiting, next, &core->admin_calls, node) {
+	list_foreach_safe(waiting, next, &core->pending_calls, node) {
 		bool settled = in_force_settle(core, waiting);
 
 		if (!settled && waiting->give_up_us <= core->now_us) {
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -46,7 +46,7 @@
 void caller_request_free(struct core *core, struct caller_request *request)
 {
 	map_remove(&core->requests, &request->node);
-	list_remove(&request->pending);
+	list_remove(&request->claim_waiters_node);
 	event_free(request->event);
 	free(request->key_id);
 	free(request->organisation);
@@ -180,7 +180,7 @@
 		keys_find_id(agreed_keys(core->agreed), request->key_id);
 	struct router_request routed = { 0 };
 
-	list_remove(&request->pending);
+	list_remove(&request->claim_waiters_node);
 	request->state = REQUEST_ROUTED;
 	routed.id = asked->id;
 	routed.organisation = request->organisation;
@@ -210,7 +210,7 @@
 	struct entry_head head = consensus_head(core);
 	struct bytes entry = { 0 };
 
-	head.incarnation = core->owner;
+	head.incarnation = core->claim_owner;
 	entry_claims(&entry, &head, op, 1);
 	propose_entry(core, head.ticket, &entry, give_up_us);
 }
@@ -221,8 +221,8 @@
 	struct claim_op op = { 0 };
 
 	request->state = REQUEST_CLAIMING;
-	list_remove(&request->pending);
-	list_append(&core->pending, &request->pending);
+	list_remove(&request->claim_waiters_node);
+	list_append(&core->claim_waiters, &request->claim_waiters_node);
 	op.verb = CLAIM_VERB_OPEN;
 	op.ticket = asked->id;
 	memcpy(op.id, request->claim_id, sizeof(op.id));
@@ -257,8 +257,8 @@
 		break;
 	case RESULT_CLAIM_RUNNING:
 		request->state = REQUEST_AWAITS_CLAIM;
-		list_remove(&request->pending);
-		list_append(&core->pending, &request->pending);
+		list_remove(&request->claim_waiters_node);
+		list_append(&core->claim_waiters, &request->claim_waiters_node);
 		break;
 	case RESULT_CLAIM_UNKNOWN:
 	case RESULT_CLAIM_ANSWER_GONE:
@@ -313,13 +313,13 @@
 
 	request->event = event;
 	request->arrived_us = core->now_us;
-	list_init(&request->pending);
+	list_init(&request->claim_waiters_node);
 	map_insert(&core->requests, &request->node,
 		   map_hash(&asked->id, sizeof(asked->id)));
-	if (core->stop_by_us || !consensus_is_fresh(core)) {
+	if (core->stop_deadline_us || !consensus_is_fresh(core)) {
 		request_refuse(core, request,
-			       core->stop_by_us ? RESULT_STOPPING
-						: RESULT_STALE,
+			       core->stop_deadline_us ? RESULT_STOPPING
+						      : RESULT_STALE,
 			       REQUEST_RETRY_SOON_MS, NULL);
 		return;
 	}
@@ -380,7 +380,8 @@
 	struct caller_request *request;
 	struct caller_request *next;
 
-	list_foreach_safe(request, next, &core->pending, pending)
+	list_foreach_safe(request, next, &core->claim_waiters,
+			  claim_waiters_node)
 		if (request->state == REQUEST_AWAITS_CLAIM &&
 		    (!claim_id || !strcmp(request->claim_id, claim_id)))
 			request_probe(core, request);
@@ -391,7 +392,8 @@
 	struct caller_request *request;
 	struct caller_request *next;
 
-	list_foreach_safe(request, next, &core->pending, pending)
+	list_foreach_safe(request, next, &core->claim_waiters,
+			  claim_waiters_node)
 		if (!strcmp(request->key_id, key_id))
 			request_refuse(core, request, RESULT_KEY_WITHDRAWN, 0,
 				       NULL);
@@ -428,7 +430,8 @@
 	struct caller_request *request;
 	struct caller_request *next;
 
-	list_foreach_safe(request, next, &core->pending, pending) {
+	list_foreach_safe(request, next, &core->claim_waiters,
+			  claim_waiters_node) {
 		if (request->deadline_us > core->now_us)
 			continue;
 		if (request->state == REQUEST_AWAITS_CLAIM)
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -255,7 +255,7 @@
 static void status_write_spend(struct core *core, struct bytes *out)
 {
 	const struct windows *windows = agreed_windows(core->agreed);
-	json_t *spend = charge_describe_spend(core);
+	json_t *spend = autoscaler_describe_spend(core);
 	int64_t unsettled = windows_unsettled(windows);
 	json_t *team;
 	size_t i;
