--- a/bench/agreed-cost.c
+++ b/bench/agreed-cost.c
@@ -54,7 +54,7 @@
 
 static void apply(struct cost *cost, struct bytes *entry)
 {
-	struct applied applied;
+	struct apply_result applied;
 
 	agreed_apply(cost->agreed, entry->data, entry->len, ++cost->index,
 		     &applied);
@@ -62,7 +62,7 @@
 		fprintf(stderr, "%s\n", result_name(applied.code));
 		exit(1);
 	}
-	applied_clear(&applied);
+	apply_result_clear(&applied);
 	bytes_clear(entry);
 }
 
--- a/bench/commit-cost.c
+++ b/bench/commit-cost.c
@@ -296,7 +296,7 @@
 	struct voter *voter = xcalloc(1, sizeof(*voter));
 	struct wal_options options = wal_default_options();
 	struct raft_options raft = raft_default_options();
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct effects effects;
 
 	voter->group = group;
--- a/bench/core-cost.c
+++ b/bench/core-cost.c
@@ -147,7 +147,7 @@
 static void cost_start(struct cost *cost, int organisations, int backends)
 {
 	struct core_options options = { 0 };
-	struct raft_saved saved = { 0 };
+	struct raft_persistent_state saved = { 0 };
 	struct effects effects;
 	int i;
 
--- a/bench/recovery-cost.c
+++ b/bench/recovery-cost.c
@@ -63,7 +63,8 @@
 	rmdir(folder);
 }
 
-static struct wal *open_log(const char *path, struct raft_saved *saved)
+static struct wal *open_log(const char *path,
+			    struct raft_persistent_state *saved)
 {
 	struct wal_options options = wal_default_options();
 	struct wal *wal;
@@ -80,7 +81,7 @@
 static void write_log(const char *path, int64_t entries)
 {
 	static const char body[ENTRY_BYTES] = { RAFT_ENTRY_COMMAND };
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct wal *wal = open_log(path, &saved);
 	struct effects effects;
 	int64_t i;
@@ -106,7 +107,7 @@
 {
 	cleanup(free_ptr) char *path = xstrfmt("%s/log", folder);
 	struct raft_options options = raft_default_options();
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct wal *wal;
 	struct raft *raft;
 	int64_t start_us;
@@ -125,7 +126,7 @@
 	       (double)(opened_us - start_us) / 1e3,
 	       (double)(now_us() - opened_us) / 1e3);
 	raft_free(raft);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	wal_close(wal);
 	remove_folder(path);
 }
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -30,7 +30,7 @@
 	struct log *log;
 	struct trace *trace;
 	struct secrets secrets;
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct wal *wal;
 	uint64_t member_id;
 	int64_t incarnation;
@@ -329,7 +329,7 @@
 		bytes_clear(&line);
 	}
 	code = core_new(core, &options, &daemon->saved, now_us, effects);
-	raft_saved_clear(&daemon->saved);
+	raft_persistent_state_clear(&daemon->saved);
 	if (code)
 		error_report(daemon->handler, code,
 			     "%s: the log makes no sense; this VM must not "
@@ -390,7 +390,7 @@
 	}
 	core_thread_free(daemon->core_thread);
 	exchange_table_clear(&daemon->exchanges);
-	raft_saved_clear(&daemon->saved);
+	raft_persistent_state_clear(&daemon->saved);
 	if (daemon->recording)
 		fclose(daemon->recording);
 	trace_close(daemon->trace);
--- a/daemon/disk/wal.c
+++ b/daemon/disk/wal.c
@@ -106,7 +106,7 @@
 }
 
 enum result wal_open(const struct wal_options *options,
-		     struct raft_saved *saved, struct wal **out)
+		     struct raft_persistent_state *saved, struct wal **out)
 {
 	struct wal *wal = wal_new(options);
 	enum result code;
@@ -138,7 +138,7 @@
 	return RESULT_OK;
 fail:
 	wal_free(wal);
-	raft_saved_clear(saved);
+	raft_persistent_state_clear(saved);
 	return code;
 }
 
--- a/daemon/disk/wal.h
+++ b/daemon/disk/wal.h
@@ -45,12 +45,12 @@
  * Lock the folder and read what it holds. Makes the folder's files at the
  * first start.
  *
- * @param saved  what raft_restore() takes; freed by raft_saved_clear()
+ * @param saved  what raft_restore() takes; freed by raft_persistent_state_clear()
  * @return RESULT_OK, RESULT_FOLDER_IN_USE, RESULT_LOG_DAMAGED,
  *         RESULT_DISK_FULL, RESULT_DISK_FAILED; reported to `errors`
  */
 enum result wal_open(const struct wal_options *options,
-		     struct raft_saved *saved, struct wal **out);
+		     struct raft_persistent_state *saved, struct wal **out);
 
 /** Identity kept in the folder. */
 uint64_t wal_member_id(const struct wal *wal);
--- a/daemon/disk/wal_internal.h
+++ b/daemon/disk/wal_internal.h
@@ -80,6 +80,6 @@
 void wal_drop_segments(struct wal *wal);
 
 /* wal_replay.c */
-enum result wal_replay(struct wal *wal, struct raft_saved *saved);
+enum result wal_replay(struct wal *wal, struct raft_persistent_state *saved);
 
 #endif
--- a/daemon/disk/wal_replay.c
+++ b/daemon/disk/wal_replay.c
@@ -16,7 +16,7 @@
 
 struct replay {
 	struct wal *wal;
-	struct raft_saved *saved;
+	struct raft_persistent_state *saved;
 	size_t capacity; /**< of saved->entries */
 	struct wal_segment *segment;
 	struct bytes content; /**< of the segment */
@@ -32,7 +32,7 @@
 			    replay->path, offset);
 }
 
-static void replay_cut(struct raft_saved *saved, int64_t from)
+static void replay_cut(struct raft_persistent_state *saved, int64_t from)
 {
 	while (saved->n_entries &&
 	       saved->entries[saved->n_entries - 1].index >= from)
@@ -43,7 +43,7 @@
 static bool replay_append(struct replay *replay, const struct wal_item *item,
 			  const char *body)
 {
-	struct raft_saved *saved = replay->saved;
+	struct raft_persistent_state *saved = replay->saved;
 	struct raft_entry *entry;
 
 	if (saved->n_entries &&
@@ -238,7 +238,8 @@
 		free(names);
 }
 
-static enum result replay_snapshot(struct wal *wal, struct raft_saved *saved)
+static enum result replay_snapshot(struct wal *wal,
+				   struct raft_persistent_state *saved)
 {
 	struct snapshot snapshot;
 	enum result code =
@@ -253,7 +254,7 @@
 
 /** What is left must continue the snapshot; else entries are missing. */
 static enum result replay_check(const struct wal *wal,
-				const struct raft_saved *saved)
+				const struct raft_persistent_state *saved)
 {
 	if (!saved->n_entries ||
 	    saved->entries[0].index <= saved->snapshot_index + 1)
@@ -264,7 +265,7 @@
 			    wal->folder, saved->entries[0].index);
 }
 
-enum result wal_replay(struct wal *wal, struct raft_saved *saved)
+enum result wal_replay(struct wal *wal, struct raft_persistent_state *saved)
 {
 	struct replay replay = { .wal = wal, .saved = saved };
 	enum result code = replay_snapshot(wal, saved);
--- a/daemon/role/control_daemon.c
+++ b/daemon/role/control_daemon.c
@@ -103,7 +103,7 @@
 }
 
 static enum result open_wal(struct control_daemon *daemon,
-			    struct raft_saved *saved)
+			    struct raft_persistent_state *saved)
 {
 	struct wal_options options = wal_default_options();
 	enum result code;
@@ -127,7 +127,7 @@
 /* From the folder as it is: at the start, and after the disk has failed. */
 static enum result open_control(struct control_daemon *daemon)
 {
-	struct raft_saved saved = { 0 };
+	struct raft_persistent_state saved = { 0 };
 	struct control_options options;
 	enum result code;
 
@@ -141,7 +141,7 @@
 	if (!code)
 		code = control_new(&daemon->control, &options, &saved,
 				   edge_now_us(), &daemon->effects);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	log_line(daemon->role.log, code ? LOG_ERROR : LOG_INFO, "daemon",
 		 "event=open code=%s member=%" PRIx64 " start=%" PRId64
 		 " founder=%d",
--- a/libfilberthall/agree/admin.h
+++ b/libfilberthall/agree/admin.h
@@ -43,7 +43,7 @@
 
 /**
  * Check and build the entry of a writing command. The operator's key is
- * checked (again at apply). `ticket` of `head` comes back in struct applied.
+ * checked (again at apply). `ticket` of `head` comes back in struct apply_result.
  *
  * Returns RESULT_OK and appends the entry to `out`, or an error whose
  * message goes to `handler`.
--- a/libfilberthall/agree/agreed.h
+++ b/libfilberthall/agree/agreed.h
@@ -32,14 +32,14 @@
 };
 
 /** Note a change for the reducer. */
-void applied_add_change(struct applied *result, enum change_kind kind,
-			const char *name, int64_t number, bool removed);
+void apply_result_add_change(struct apply_result *result, enum change_kind kind,
+			     const char *name, int64_t number, bool removed);
 
 /** Operators' commands: kind "admin", and "seed". */
 void agreed_apply_admin(struct agreed *agreed, const struct entry *entry,
-			struct applied *result);
+			struct apply_result *result);
 void agreed_apply_seed(struct agreed *agreed, const struct entry *entry,
-		       struct applied *result);
+		       struct apply_result *result);
 
 /** Take over the bounds of claims from the settings. */
 void agreed_set_limits(struct agreed *agreed);
--- a/libfilberthall/agree/apply.c
+++ b/libfilberthall/agree/apply.c
@@ -87,8 +87,8 @@
 	return agreed->orders;
 }
 
-void applied_add_change(struct applied *result, enum change_kind kind,
-			const char *name, int64_t number, bool removed)
+void apply_result_add_change(struct apply_result *result, enum change_kind kind,
+			     const char *name, int64_t number, bool removed)
 {
 	struct change *change = xcalloc(1, sizeof(*change));
 
@@ -99,7 +99,7 @@
 	list_append(&result->changes, &change->node);
 }
 
-void applied_clear(struct applied *applied)
+void apply_result_clear(struct apply_result *applied)
 {
 	struct change *change;
 	struct change *next;
@@ -145,11 +145,12 @@
 
 static void apply_claim_lost(void *data, const char *id)
 {
-	applied_add_change(data, CHANGE_CLAIM, id, 0, true);
+	apply_result_add_change(data, CHANGE_CLAIM, id, 0, true);
 }
 
 static void apply_claim_op(struct agreed *agreed, const struct entry *entry,
-			   const struct claim_op *op, struct applied *result)
+			   const struct claim_op *op,
+			   struct apply_result *result)
 {
 	struct claim_owner owner = { entry->head.origin,
 				     entry->head.incarnation };
@@ -162,13 +163,13 @@
 		claims_apply(agreed->claims, &owner, op, agreed->time_us);
 	if (outcome->code == RESULT_OK && op->verb != CLAIM_VERB_OPEN &&
 	    op->verb != CLAIM_VERB_SENT)
-		applied_add_change(result, CHANGE_CLAIM, op->id, 0,
-				   op->verb == CLAIM_VERB_RELEASE);
+		apply_result_add_change(result, CHANGE_CLAIM, op->id, 0,
+					op->verb == CLAIM_VERB_RELEASE);
 }
 
 /* A batch is carried out whole or, if any of it can't be read, not at all. */
 static void apply_claims(struct agreed *agreed, const struct entry *entry,
-			 struct applied *result)
+			 struct apply_result *result)
 {
 	struct claim_owner before = { entry->head.origin,
 				      entry->head.incarnation };
@@ -195,7 +196,7 @@
 }
 
 static void apply_owner_gone(struct agreed *agreed, const struct entry *entry,
-			     struct applied *result)
+			     struct apply_result *result)
 {
 	struct claim_owner owner;
 	json_int_t member;
@@ -212,7 +213,7 @@
 }
 
 static void apply_window(struct agreed *agreed, const struct entry *entry,
-			 struct applied *result)
+			 struct apply_result *result)
 {
 	int64_t window = codec_int(entry->body, "window", -1);
 
@@ -222,35 +223,37 @@
 			: windows_commit(agreed->windows, window,
 					 json_object_get(entry->body, "rows"));
 	if (result->code == RESULT_OK)
-		applied_add_change(result, CHANGE_WINDOW, NULL, window, false);
+		apply_result_add_change(result, CHANGE_WINDOW, NULL, window,
+					false);
 }
 
 static void apply_window_settled(struct agreed *agreed,
 				 const struct entry *entry,
-				 struct applied *result)
+				 struct apply_result *result)
 {
 	int64_t window = codec_int(entry->body, "window", -1);
 	bool accepted = json_is_true(json_object_get(entry->body, "accepted"));
 
 	result->code = windows_settle(agreed->windows, window, accepted);
 	if (result->code == RESULT_OK)
-		applied_add_change(result, CHANGE_WINDOW, NULL, window, false);
+		apply_result_add_change(result, CHANGE_WINDOW, NULL, window,
+					false);
 }
 
 static void apply_order(struct agreed *agreed, const struct entry *entry,
-			struct applied *result)
+			struct apply_result *result)
 {
 	result->code = order_book_place(agreed->orders, entry->body,
 					entry->head.time_us, agreed->index);
 	if (result->code == RESULT_OK)
-		applied_add_change(result, CHANGE_ORDER,
-				   codec_text(entry->body, "order_id", ""), 0,
-				   false);
+		apply_result_add_change(result, CHANGE_ORDER,
+					codec_text(entry->body, "order_id", ""),
+					0, false);
 }
 
 static void apply_order_settled(struct agreed *agreed,
 				const struct entry *entry,
-				struct applied *result)
+				struct apply_result *result)
 {
 	const char *order_id = codec_text(entry->body, "order_id", "");
 
@@ -259,13 +262,14 @@
 				  codec_text(entry->body, "state", ""),
 				  codec_text(entry->body, "address", ""));
 	if (result->code == RESULT_OK)
-		applied_add_change(result, CHANGE_ORDER, order_id, 0, false);
+		apply_result_add_change(result, CHANGE_ORDER, order_id, 0,
+					false);
 }
 
 static const struct {
 	const char *kind;
 	void (*apply)(struct agreed *agreed, const struct entry *entry,
-		      struct applied *result);
+		      struct apply_result *result);
 } apply_kinds[] = {
 	{ "admin", agreed_apply_admin },
 	{ "seed", agreed_apply_seed },
@@ -314,7 +318,7 @@
 }
 
 static void apply_entry(struct agreed *agreed, const struct entry *entry,
-			struct applied *result)
+			struct apply_result *result)
 {
 	size_t i;
 
@@ -335,7 +339,7 @@
 }
 
 void agreed_apply(struct agreed *agreed, const void *data, size_t len,
-		  int64_t index, struct applied *result)
+		  int64_t index, struct apply_result *result)
 {
 	struct entry entry;
 	json_t *value;
--- a/libfilberthall/agree/apply.h
+++ b/libfilberthall/agree/apply.h
@@ -61,8 +61,8 @@
 	bool removed;
 };
 
-/** What came of one entry; applied_clear() frees it. */
-struct applied {
+/** What came of one entry; apply_result_clear() frees it. */
+struct apply_result {
 	enum result code;
 	uint64_t origin;
 	uint64_t incarnation;
@@ -85,8 +85,8 @@
  * empty entry (a new leader's) is RESULT_OK. `index` must grow.
  */
 void agreed_apply(struct agreed *agreed, const void *entry, size_t len,
-		  int64_t index, struct applied *result);
-void applied_clear(struct applied *applied);
+		  int64_t index, struct apply_result *result);
+void apply_result_clear(struct apply_result *applied);
 
 /** Index of the last entry applied, and log time. */
 int64_t agreed_index(const struct agreed *agreed);
--- a/libfilberthall/agree/apply_admin.c
+++ b/libfilberthall/agree/apply_admin.c
@@ -14,7 +14,7 @@
 	const struct key *by;
 	json_t *args;
 	json_t *answer;
-	struct applied *result;
+	struct apply_result *result;
 	struct settings_author author;
 	struct error_handler handler;
 	struct bytes message;
@@ -61,9 +61,9 @@
 	size_t team_len;
 
 	if (kind != RULE_OTHER || !strncmp(path, "site/", 5)) {
-		applied_add_change(command->result, kinds[kind],
-				   kind == RULE_OTHER ? path : name, 0,
-				   removed);
+		apply_result_add_change(command->result, kinds[kind],
+					kind == RULE_OTHER ? path : name, 0,
+					removed);
 		return;
 	}
 	team_len = strcspn(path + strlen("team/"), "/");
@@ -71,8 +71,8 @@
 		cleanup(free_ptr) char *team =
 			xmemdup(path + strlen("team/"), team_len);
 
-		applied_add_change(command->result, CHANGE_BUDGET, team, 0,
-				   removed);
+		apply_result_add_change(command->result, CHANGE_BUDGET, team, 0,
+					removed);
 	}
 }
 
@@ -266,8 +266,8 @@
 		code = keys_grant(command->agreed->keys, args,
 				  command->author.index, &command->handler);
 	if (code == RESULT_OK)
-		applied_add_change(command->result, CHANGE_KEY,
-				   codec_text(args, "id", ""), 0, false);
+		apply_result_add_change(command->result, CHANGE_KEY,
+					codec_text(args, "id", ""), 0, false);
 	return code;
 }
 
@@ -307,8 +307,8 @@
 		code = keys_limit(command->agreed->keys, args,
 				  command->author.index, &command->handler);
 	if (code == RESULT_OK)
-		applied_add_change(command->result, CHANGE_KEY,
-				   codec_text(args, "id", ""), 0, false);
+		apply_result_add_change(command->result, CHANGE_KEY,
+					codec_text(args, "id", ""), 0, false);
 	return code;
 }
 
@@ -321,7 +321,7 @@
 	if (code != RESULT_OK)
 		return code;
 	keys_withdraw(command->agreed->keys, id);
-	applied_add_change(command->result, CHANGE_KEY, id, 0, true);
+	apply_result_add_change(command->result, CHANGE_KEY, id, 0, true);
 	return RESULT_OK;
 }
 
@@ -350,7 +350,8 @@
 }
 
 static void command_begin(struct command *command, struct agreed *agreed,
-			  const struct entry *entry, struct applied *result)
+			  const struct entry *entry,
+			  struct apply_result *result)
 {
 	memset(command, 0, sizeof(*command));
 	command->agreed = agreed;
@@ -426,7 +427,7 @@
 }
 
 void agreed_apply_admin(struct agreed *agreed, const struct entry *entry,
-			struct applied *result)
+			struct apply_result *result)
 {
 	struct command command;
 	const char *name;
@@ -481,7 +482,7 @@
 }
 
 void agreed_apply_seed(struct agreed *agreed, const struct entry *entry,
-		       struct applied *result)
+		       struct apply_result *result)
 {
 	struct command command;
 
@@ -489,7 +490,7 @@
 	command_finish(&command, command_seed(&command, entry->body));
 	command_note_paths(&command);
 	if (result->code == RESULT_OK)
-		applied_add_change(result, CHANGE_KEY,
-				   codec_text(entry->body, "key_id", ""), 0,
-				   false);
+		apply_result_add_change(result, CHANGE_KEY,
+					codec_text(entry->body, "key_id", ""),
+					0, false);
 }
--- a/libfilberthall/agree/member.h
+++ b/libfilberthall/agree/member.h
@@ -47,17 +47,17 @@
 /** What the leader knows of a member. */
 struct member_health {
 	uint64_t id;
-	int64_t heard_us; /**< leader's clock, last sign of life */
-	int64_t applied;  /**< last index that it has applied */
-	bool caught_up;	  /**< holds all that is committed */
-	bool present;	  /**< heard within a few heartbeats */
-	bool failed;	  /**< its disk has failed */
+	int64_t last_contact_us; /**< leader's clock, last sign of life */
+	int64_t applied;	 /**< last index that it has applied */
+	bool caught_up;		 /**< holds all that is committed */
+	bool present;		 /**< heard within a few heartbeats */
+	bool disk_failed;	 /**< its disk has failed */
 };
 
 struct member_policy {
-	int voters;	    /**< wanted, odd */
-	int64_t replace_us; /**< silence after which a voter counts as dead */
-	int64_t drop_us;    /**< silence after which a learner is dropped */
+	int voters;		  /**< wanted, odd */
+	int64_t voter_timeout_us; /**< silence after which a voter counts as dead */
+	int64_t learner_timeout_us; /**< silence after which a learner is dropped */
 	/**
 	 * A dead voter goes only when another can take its place. A smaller
 	 * group commits on fewer disks: after two losses of five, three
--- a/libfilberthall/agree/raft.c
+++ b/libfilberthall/agree/raft.c
@@ -96,7 +96,7 @@
 	free(raft);
 }
 
-void raft_saved_clear(struct raft_saved *saved)
+void raft_persistent_state_clear(struct raft_persistent_state *saved)
 {
 	size_t i;
 
@@ -108,7 +108,7 @@
 }
 
 /** A snapshot must name its configuration, or we can't know who votes. */
-static bool raft_saved_snapshot_ok(const struct raft_saved *saved)
+static bool raft_saved_snapshot_ok(const struct raft_persistent_state *saved)
 {
 	struct members members = { 0 };
 	const char *state;
@@ -122,7 +122,8 @@
 	return ok;
 }
 
-enum result raft_restore(struct raft *raft, const struct raft_saved *saved)
+enum result raft_restore(struct raft *raft,
+			 const struct raft_persistent_state *saved)
 {
 	struct effects ignored;
 	size_t i;
--- a/libfilberthall/agree/raft.h
+++ b/libfilberthall/agree/raft.h
@@ -90,7 +90,7 @@
 };
 
 /** What a start finds on the disk; zeroed for a new member. */
-struct raft_saved {
+struct raft_persistent_state {
 	int64_t term;
 	uint64_t vote;
 	int64_t snapshot_index; /**< 0 for none */
@@ -142,8 +142,9 @@
  *
  * @return RESULT_OK, or RESULT_LOG_DAMAGED if it makes no sense
  */
-enum result raft_restore(struct raft *raft, const struct raft_saved *saved);
-void raft_saved_clear(struct raft_saved *saved);
+enum result raft_restore(struct raft *raft,
+			 const struct raft_persistent_state *saved);
+void raft_persistent_state_clear(struct raft_persistent_state *saved);
 
 /** Found a new group with this member as its only voter. */
 enum result raft_bootstrap(struct raft *raft, int64_t now_us,
@@ -213,7 +214,7 @@
 enum raft_role raft_role(const struct raft *raft);
 bool raft_is_leader(const struct raft *raft);
 bool raft_is_voter(const struct raft *raft);
-bool raft_has_failed(const struct raft *raft);
+bool raft_disk_has_failed(const struct raft *raft);
 int64_t raft_term(const struct raft *raft);
 
 /** The leader's id, 0 if none is known. */
--- a/libfilberthall/agree/raft_member.c
+++ b/libfilberthall/agree/raft_member.c
@@ -220,9 +220,9 @@
 	if (!peer)
 		return false;
 	out->id = id;
-	out->heard_us = peer->heard_us;
+	out->last_contact_us = peer->heard_us;
 	out->applied = peer->applied;
-	out->failed = peer->failed;
+	out->disk_failed = peer->failed;
 	out->caught_up = peer->feeding && !peer->failed && peer->match &&
 			 peer->match + RAFT_CAUGHT_UP_ENTRIES >= raft->commit;
 	return true;
--- a/libfilberthall/agree/raft_view.c
+++ b/libfilberthall/agree/raft_view.c
@@ -24,7 +24,7 @@
 	return raft->self_votes;
 }
 
-bool raft_has_failed(const struct raft *raft)
+bool raft_disk_has_failed(const struct raft *raft)
 {
 	return raft->failed;
 }
--- a/libfilberthall/agree/repair.c
+++ b/libfilberthall/agree/repair.c
@@ -30,7 +30,7 @@
 
 	if (id == view->self)
 		return false;
-	return !health || view->now_us - health->heard_us >= for_us;
+	return !health || view->now_us - health->last_contact_us >= for_us;
 }
 
 static bool repair_same_place(const struct member *a, const struct member *b)
@@ -53,7 +53,8 @@
 
 		if (other->id != member->id &&
 		    repair_same_place(other, member) &&
-		    !repair_silent(view, other->id, view->policy->replace_us))
+		    !repair_silent(view, other->id,
+				   view->policy->voter_timeout_us))
 			return true;
 	}
 	return false;
@@ -63,9 +64,9 @@
 			const struct member *member)
 {
 	const struct member_health *health = repair_health(view, member->id);
-	int64_t patience_us = view->policy->replace_us;
+	int64_t patience_us = view->policy->voter_timeout_us;
 
-	if (health && health->failed)
+	if (health && health->disk_failed)
 		return true;
 	if (repair_superseded(view, member))
 		patience_us /= 4;
@@ -168,8 +169,8 @@
 {
 	const struct member_health *health = repair_health(view, member->id);
 
-	return health && health->failed &&
-	       !repair_silent(view, member->id, view->policy->replace_us);
+	return health && health->disk_failed &&
+	       !repair_silent(view, member->id, view->policy->voter_timeout_us);
 }
 
 /** How sure it is that a dead voter doesn't come back. */
@@ -337,10 +338,10 @@
 
 	for (i = 0; i < view->members->count; i++) {
 		const struct member *member = &view->members->items[i];
-		int64_t patience_us = view->policy->drop_us;
+		int64_t patience_us = view->policy->learner_timeout_us;
 
 		if (repair_superseded(view, member))
-			patience_us = view->policy->replace_us / 4;
+			patience_us = view->policy->voter_timeout_us / 4;
 		if (member->role == MEMBER_LEARNER &&
 		    repair_silent(view, member->id, patience_us))
 			return repair_step(MEMBER_REMOVE, member,
--- a/libfilberthall/control/control.c
+++ b/libfilberthall/control/control.c
@@ -62,8 +62,8 @@
 	raft.keep_entries = SNAPSHOT_KEPT;
 	raft.policy.voters = options->voters;
 	raft.policy.keep_voters = true;
-	raft.policy.replace_us = REPLACE_US;
-	raft.policy.drop_us = DROP_US;
+	raft.policy.voter_timeout_us = REPLACE_US;
+	raft.policy.learner_timeout_us = DROP_US;
 	raft.lease.duration_us = options->lease_us;
 	/* The usual margin is for the usual lease: a sixth of a shorter one. */
 	if (raft.lease.margin_us > options->lease_us / 6)
@@ -73,8 +73,8 @@
 
 enum result control_new(struct control **out,
 			const struct control_options *options,
-			const struct raft_saved *saved, int64_t now_us,
-			struct effects *effects)
+			const struct raft_persistent_state *saved,
+			int64_t now_us, struct effects *effects)
 {
 	struct control *control = xcalloc(1, sizeof(*control));
 	struct raft_options raft;
--- a/libfilberthall/control/control.h
+++ b/libfilberthall/control/control.h
@@ -54,8 +54,8 @@
  */
 enum result control_new(struct control **control,
 			const struct control_options *options,
-			const struct raft_saved *saved, int64_t now_us,
-			struct effects *effects);
+			const struct raft_persistent_state *saved,
+			int64_t now_us, struct effects *effects);
 void control_free(struct control *control);
 
 /** Let time pass; at control_next_tick() at the latest. */
--- a/libfilberthall/core/consensus.c
+++ b/libfilberthall/core/consensus.c
@@ -85,14 +85,15 @@
 }
 
 static bool consensus_is_own(const struct core *core,
-			     const struct applied *applied)
+			     const struct apply_result *applied)
 {
 	return applied->origin == core->options.self &&
 	       (applied->incarnation == (uint64_t)core->options.incarnation ||
 		applied->incarnation == core->owner);
 }
 
-static void consensus_settle(struct core *core, const struct applied *applied)
+static void consensus_settle(struct core *core,
+			     const struct apply_result *applied)
 {
 	struct proposal *proposal;
 	size_t i;
@@ -122,7 +123,7 @@
 static void consensus_apply(struct core *core,
 			    const struct raft_committed *committed)
 {
-	struct applied applied = { 0 };
+	struct apply_result applied = { 0 };
 	struct change *change;
 
 	agreed_apply(core->agreed, committed->data, committed->len,
@@ -135,7 +136,7 @@
 		consensus_act(core, change);
 	if (consensus_is_own(core, &applied))
 		consensus_settle(core, &applied);
-	applied_clear(&applied);
+	apply_result_clear(&applied);
 }
 
 static void consensus_set_class(void *data, const struct class_rule *rule)
@@ -300,7 +301,7 @@
 
 	return member->id != core->options.self &&
 	       raft_health(core->raft, member->id, &health) &&
-	       core->now_us - health.heard_us >= CONSENSUS_OWNER_GONE_US;
+	       core->now_us - health.last_contact_us >= CONSENSUS_OWNER_GONE_US;
 }
 
 /*
@@ -342,11 +343,12 @@
 	struct member_policy policy = { 0 };
 
 	policy.voters = (int)rules_number(settings, "site/cluster", "voters");
-	policy.replace_us =
+	policy.voter_timeout_us =
 		(int64_t)(1e6 * rules_number(settings, "site/cluster",
 					     "repair_after_s"));
-	policy.drop_us = (int64_t)(1e6 * rules_number(settings, "site/cluster",
-						      "learner_gone_after_s"));
+	policy.learner_timeout_us =
+		(int64_t)(1e6 * rules_number(settings, "site/cluster",
+					     "learner_gone_after_s"));
 	raft_set_policy(core->raft, &policy);
 }
 
--- a/libfilberthall/core/core.c
+++ b/libfilberthall/core/core.c
@@ -86,7 +86,7 @@
 }
 
 enum result core_new(struct core **out, const struct core_options *options,
-		     const struct raft_saved *saved, int64_t now_us,
+		     const struct raft_persistent_state *saved, int64_t now_us,
 		     struct effects *effects)
 {
 	struct core *core = xcalloc(1, sizeof(*core));
--- a/libfilberthall/core/core.h
+++ b/libfilberthall/core/core.h
@@ -43,7 +43,7 @@
  * @return RESULT_OK, or RESULT_LOG_DAMAGED if `saved` makes no sense
  */
 enum result core_new(struct core **core, const struct core_options *options,
-		     const struct raft_saved *saved, int64_t now_us,
+		     const struct raft_persistent_state *saved, int64_t now_us,
 		     struct effects *effects);
 
 void core_free(struct core *core);
@@ -60,7 +60,8 @@
 
 /** Options and saved state as one line of JSON: a recording's first line. */
 void core_write_start(struct bytes *out, const struct core_options *options,
-		      const struct raft_saved *saved, int64_t now_us);
+		      const struct raft_persistent_state *saved,
+		      int64_t now_us);
 
 /**
  * Start a core from a recording's first line. RESULT_MESSAGE_MALFORMED with
--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -197,7 +197,7 @@
 void operator_answered(struct core *core, uint64_t ticket, enum result code,
 		       const struct bytes *body);
 void operator_applied(struct core *core, struct proposal *proposal,
-		      const struct applied *applied);
+		      const struct apply_result *applied);
 void operator_lost(struct core *core, struct proposal *proposal);
 
 /* in_force.c: calls that wait until a change is in force everywhere */
--- a/libfilberthall/core/in_force.c
+++ b/libfilberthall/core/in_force.c
@@ -23,7 +23,8 @@
 	for (i = 0; i < members->count; i++)
 		if (members->items[i].id != core->options.self &&
 		    raft_health(core->raft, members->items[i].id, &health) &&
-		    (double)(core->now_us - health.heard_us) > stale_ms * 1000)
+		    (double)(core->now_us - health.last_contact_us) >
+			    stale_ms * 1000)
 			silent++;
 	return silent;
 }
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -138,7 +138,7 @@
 }
 
 void operator_applied(struct core *core, struct proposal *proposal,
-		      const struct applied *applied)
+		      const struct apply_result *applied)
 {
 	json_t *answer = applied->answer ? json_deep_copy(applied->answer)
 					 : json_object();
--- a/libfilberthall/core/recording.c
+++ b/libfilberthall/core/recording.c
@@ -34,7 +34,7 @@
 	return json_string(text);
 }
 
-static json_t *recording_saved(const struct raft_saved *saved)
+static json_t *recording_saved(const struct raft_persistent_state *saved)
 {
 	json_t *entries = json_array();
 	size_t i;
@@ -55,7 +55,7 @@
 }
 
 void core_write_start(struct bytes *out, const struct core_options *options,
-		      const struct raft_saved *saved, int64_t now_us)
+		      const struct raft_persistent_state *saved, int64_t now_us)
 {
 	json_t *root = json_object();
 	char *text;
@@ -119,7 +119,8 @@
 	return json_integer_value(json_object_get(root, key));
 }
 
-static bool recording_read_saved(struct raft_saved *saved, const json_t *root)
+static bool recording_read_saved(struct raft_persistent_state *saved,
+				 const json_t *root)
 {
 	const json_t *entries = json_object_get(root, "entries");
 	json_t *row;
@@ -169,7 +170,7 @@
 {
 	json_t *root = json_loadb(line, len, 0, NULL);
 	struct core_options options = { 0 };
-	struct raft_saved saved = { 0 };
+	struct raft_persistent_state saved = { 0 };
 	enum result code;
 
 	if (recording_read_options(&options, root) &&
@@ -181,7 +182,7 @@
 				    "line 1: not the start of a recording of "
 				    "version %d",
 				    RECORDING_VERSION);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	bytes_clear(&options.seed_values);
 	json_decref(root);
 	return code;
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -118,7 +118,7 @@
 			json_object_set_new(row, "silent_s",
 					    json_real(status_seconds(
 						    core->now_us -
-						    health.heard_us)));
+						    health.last_contact_us)));
 		}
 		json_array_append_new(list, row);
 	}
--- a/tests/agree/disk.c
+++ b/tests/agree/disk.c
@@ -108,7 +108,7 @@
 	g_free(disk->message);
 }
 
-enum result disk_open(struct disk *disk, struct raft_saved *saved,
+enum result disk_open(struct disk *disk, struct raft_persistent_state *saved,
 		      struct wal **wal)
 {
 	struct wal_options options = wal_default_options();
--- a/tests/agree/disk.h
+++ b/tests/agree/disk.h
@@ -22,7 +22,7 @@
 void disk_clear(struct disk *disk);
 
 /** Open the log of the folder. */
-enum result disk_open(struct disk *disk, struct raft_saved *saved,
+enum result disk_open(struct disk *disk, struct raft_persistent_state *saved,
 		      struct wal **wal);
 
 /** Queue an entry with that text, and its sync as a ticket. */
--- a/tests/agree/raft_bed.c
+++ b/tests/agree/raft_bed.c
@@ -21,7 +21,7 @@
 	return members;
 }
 
-static void add_entry(struct raft_saved *saved, int64_t term,
+static void add_entry(struct raft_persistent_state *saved, int64_t term,
 		      enum raft_entry_kind kind, const struct bytes *body)
 {
 	struct raft_entry *entry;
@@ -41,7 +41,7 @@
 {
 	struct raft_options options = raft_default_options();
 	struct members members = three_voters();
-	struct raft_saved saved = { .term = 2, .vote = 1 };
+	struct raft_persistent_state saved = { .term = 2, .vote = 1 };
 	struct bytes body = { 0 };
 	struct raft *raft;
 
@@ -55,7 +55,7 @@
 	g_assert_cmpint(raft_restore(raft, &saved), ==, RESULT_OK);
 	bytes_clear(&body);
 	members_clear(&members);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	return raft;
 }
 
--- a/tests/agree/saved.c
+++ b/tests/agree/saved.c
@@ -2,7 +2,7 @@
 
 #include "base/alloc.h"
 
-static void add_entry(struct raft_saved *saved,
+static void add_entry(struct raft_persistent_state *saved,
 		      const struct effect_log_append *append)
 {
 	struct raft_entry *entry;
@@ -15,14 +15,15 @@
 	entry->body = bytes_copy(&append->body);
 }
 
-static void cut_entries(struct raft_saved *saved, int64_t from)
+static void cut_entries(struct raft_persistent_state *saved, int64_t from)
 {
 	while (saved->n_entries &&
 	       saved->entries[saved->n_entries - 1].index >= from)
 		bytes_clear(&saved->entries[--saved->n_entries].body);
 }
 
-void saved_apply(struct raft_saved *saved, const struct effect *effect)
+void saved_apply(struct raft_persistent_state *saved,
+		 const struct effect *effect)
 {
 	switch (effect->kind) {
 	case EFFECT_LOG_APPEND:
--- a/tests/agree/sim.c
+++ b/tests/agree/sim.c
@@ -223,8 +223,8 @@
 	options.snapshot_bytes = 600;
 	options.keep_entries = 8;
 	options.chunk_bytes = 64;
-	options.policy.replace_us = 3000000;
-	options.policy.drop_us = 20000000;
+	options.policy.voter_timeout_us = 3000000;
+	options.policy.learner_timeout_us = 20000000;
 	options.self.id = node->id;
 	options.self.incarnation = (int64_t)node->boot;
 	options.self.disk = at != SIM_LEARNER;
@@ -389,7 +389,7 @@
 	g_free(sim->heap);
 	for (i = 0; i < SIM_NODES; i++) {
 		sim_stop(sim, i);
-		raft_saved_clear(&sim->nodes[i].saved);
+		raft_persistent_state_clear(&sim->nodes[i].saved);
 	}
 }
 
--- a/tests/agree/sim_fault.c
+++ b/tests/agree/sim_fault.c
@@ -183,7 +183,7 @@
 	struct sim_node *node = &sim->nodes[at];
 
 	sim_crash(sim, at);
-	raft_saved_clear(&node->saved);
+	raft_persistent_state_clear(&node->saved);
 	node->id = 0;
 	node->boot = 0;
 	sim->stats->replaced++;
--- a/tests/agree/sim_internal.h
+++ b/tests/agree/sim_internal.h
@@ -42,7 +42,7 @@
 	int64_t rate_ppm;
 	int64_t synced_at_us;
 	int64_t order_end_us; /* true time at which its last order is over */
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct list pending; /* effects that aren't durable yet */
 	struct sim_state state;
 };
--- a/tests/agree/t-member.c
+++ b/tests/agree/t-member.c
@@ -20,8 +20,8 @@
 	memset(group, 0, sizeof(*group));
 	group->members.items = group->items;
 	group->policy.voters = 3;
-	group->policy.replace_us = 10 * SECOND;
-	group->policy.drop_us = 60 * SECOND;
+	group->policy.voter_timeout_us = 10 * SECOND;
+	group->policy.learner_timeout_us = 60 * SECOND;
 	group->now_us = NOW;
 }
 
@@ -37,7 +37,7 @@
 	member->role = role;
 	member->disk = disk;
 	group->health[at].id = id;
-	group->health[at].heard_us = NOW - silent_s * SECOND;
+	group->health[at].last_contact_us = NOW - silent_s * SECOND;
 	group->health[at].caught_up = disk;
 	group->health[at].present = silent_s == 0;
 }
@@ -118,7 +118,7 @@
 	struct group group;
 
 	group_of_three(&group, 0);
-	group.health[1].failed = true;
+	group.health[1].disk_failed = true;
 	change = group_next(&group);
 	expect(change, MEMBER_PROMOTE, 4);
 	members_change(&group.members, &change);
@@ -134,7 +134,7 @@
 	struct group group;
 
 	group_of_three(&group, 1);
-	group.health[1].failed = true;
+	group.health[1].disk_failed = true;
 	expect(group_next(&group), MEMBER_NO_CHANGE, 0);
 }
 
@@ -149,10 +149,11 @@
 	struct group group;
 
 	group_of_five(&group, 1);
-	group.health[1].failed = true;
+	group.health[1].disk_failed = true;
 	expect(group_next(&group), MEMBER_NO_CHANGE, 0);
 	/* Once it is known which one is gone, that one goes, and comes last. */
-	group.health[2].heard_us = group.now_us - group.policy.replace_us;
+	group.health[2].last_contact_us =
+		group.now_us - group.policy.voter_timeout_us;
 	expect(group_next(&group), MEMBER_PROMOTE, 6);
 	group.items[5].role = MEMBER_VOTER;
 	expect(group_next(&group), MEMBER_REMOVE, 3);
@@ -260,9 +261,9 @@
 	struct group group;
 
 	group_of_three(&group, 0);
-	group.health[4].heard_us = NOW - 59 * SECOND;
+	group.health[4].last_contact_us = NOW - 59 * SECOND;
 	expect(group_next(&group), MEMBER_NO_CHANGE, 0);
-	group.health[4].heard_us = NOW - 60 * SECOND;
+	group.health[4].last_contact_us = NOW - 60 * SECOND;
 	expect(group_next(&group), MEMBER_REMOVE, 5);
 }
 
--- a/tests/agree/t-raft-silence.c
+++ b/tests/agree/t-raft-silence.c
@@ -152,7 +152,7 @@
 	answer.n_reports = 1;
 	bed_deliver(bed.raft, CANDIDATE, answer, 20 * SECOND, &bed.effects);
 	g_assert_true(raft_health(bed.raft, BELOW, &health));
-	g_assert_cmpint(health.heard_us, ==, 4 * SECOND - 500000);
+	g_assert_cmpint(health.last_contact_us, ==, 4 * SECOND - 500000);
 	bed_clear(&bed);
 }
 
@@ -174,7 +174,7 @@
 	g_assert_true(raft_is_leader(bed.raft));
 	g_assert_cmpint(bed_member(&bed, CANDIDATE)->role, ==, MEMBER_LEARNER);
 	g_assert_true(raft_health(bed.raft, 3, &health));
-	g_assert_cmpint(health.heard_us, ==, 20 * SECOND);
+	g_assert_cmpint(health.last_contact_us, ==, 20 * SECOND);
 	bed_clear(&bed);
 }
 
--- a/tests/agree/t-raft.c
+++ b/tests/agree/t-raft.c
@@ -55,7 +55,7 @@
 	effects_init(&effects);
 	raft_peer_up(raft, 2, 0, &effects);
 	raft_disk_failed(raft, RESULT_DISK_FAILED, 10, &effects);
-	g_assert_true(raft_has_failed(raft));
+	g_assert_true(raft_disk_has_failed(raft));
 	effects_clear(&effects);
 	bed_deliver(raft, 2, append, 20, &effects);
 	g_assert_true(bed_take_sent(&effects, RAFT_APPEND_REPLY, &reply));
--- a/tests/agree/t-thread-wal.c
+++ b/tests/agree/t-thread-wal.c
@@ -30,7 +30,7 @@
 	struct wal_options options = wal_default_options();
 	struct waiting waiting = { PTHREAD_MUTEX_INITIALIZER,
 				   PTHREAD_COND_INITIALIZER, 0 };
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 	int64_t i;
@@ -55,7 +55,7 @@
 	wal_close(wal);
 	g_assert_cmpint(wal_open(&options, &saved, &wal), ==, RESULT_OK);
 	g_assert_cmpuint(saved.n_entries, ==, 500);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	wal_close(wal);
 	disk_clear(&disk);
 }
--- a/tests/agree/t-wal.c
+++ b/tests/agree/t-wal.c
@@ -8,7 +8,7 @@
 /* Two batches: term 1 with entries 1 and 2, then entry 3. */
 static void write_two_batches(struct disk *disk)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct wal *wal;
 
 	g_assert_cmpint(disk_open(disk, &saved, &wal), ==, RESULT_OK);
@@ -26,7 +26,7 @@
 
 static size_t entries_after_start(struct disk *disk, enum result *code)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct wal *wal;
 	size_t n;
 
@@ -36,14 +36,14 @@
 		g_assert_cmpint(saved.term, ==, 1);
 		g_assert_cmpuint(saved.vote, ==, 42);
 	}
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	wal_close(wal);
 	return n;
 }
 
 static void restart_finds_what_was_synced(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 	uint64_t id;
@@ -60,14 +60,14 @@
 	disk_put_entry(wal, 2, 2, "other");
 	disk_put_sync(wal, 3);
 	wal_close(wal);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	g_assert_cmpint(disk_open(&disk, &saved, &wal), ==, RESULT_OK);
 	g_assert_cmpuint(saved.n_entries, ==, 2);
 	g_assert_cmpint(saved.entries[1].term, ==, 2);
 	g_assert_cmpuint(saved.vote, ==, 7);
 	g_assert_cmpuint(wal_member_id(wal), ==, id);
 	wal_close(wal);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	disk_clear(&disk);
 }
 
@@ -155,7 +155,7 @@
 /* The disk fills up while an operator sets something. */
 static void full_disk_acknowledges_nothing(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 	enum result code;
@@ -163,7 +163,7 @@
 	disk_init(&disk);
 	write_two_batches(&disk);
 	g_assert_cmpint(disk_open(&disk, &saved, &wal), ==, RESULT_OK);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	disk.writes_left = 1;
 	expect_failure(&disk, wal, RESULT_DISK_FULL);
 	wal_close(wal);
@@ -178,14 +178,14 @@
  */
 static void failed_sync_is_not_retried(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 
 	disk_init(&disk);
 	write_two_batches(&disk);
 	g_assert_cmpint(disk_open(&disk, &saved, &wal), ==, RESULT_OK);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	disk.sync_fails = true;
 	expect_failure(&disk, wal, RESULT_DISK_FAILED);
 	wal_close(wal);
@@ -194,7 +194,7 @@
 
 static void read_only_folder_is_refused(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 
@@ -208,7 +208,7 @@
 /* Two daemons are started on one folder: the second must not get in. */
 static void second_daemon_on_a_folder_is_refused(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 	struct wal *second;
@@ -251,7 +251,7 @@
 /* An emptied folder is a new member: its old self may have voted. */
 static void emptied_folder_has_a_new_identity(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 	uint64_t id;
@@ -262,7 +262,7 @@
 	g_assert_cmpint(disk_open(&disk, &saved, &wal), ==, RESULT_OK);
 	id = wal_member_id(wal);
 	wal_close(wal);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	while ((path = disk_find(&disk, ""))) {
 		g_unlink(path);
 		g_free(path);
@@ -299,7 +299,7 @@
 
 static void snapshot_lets_segments_go(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 	int before;
@@ -321,7 +321,7 @@
 	g_assert_cmpint(saved.entries[saved.n_entries - 1].index, ==, 100);
 	g_assert_cmpint(saved.term, ==, 1);
 	g_assert_cmpuint(saved.vote, ==, 42);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	wal_close(wal);
 	disk_clear(&disk);
 }
@@ -329,14 +329,14 @@
 /* A snapshot came from the leader: the log goes on far behind the old one. */
 static void installed_snapshot_replaces_the_log(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 
 	disk_init(&disk);
 	write_two_batches(&disk);
 	g_assert_cmpint(disk_open(&disk, &saved, &wal), ==, RESULT_OK);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	disk_put_snapshot(wal, 500, 1, "state");
 	disk_put_entry(wal, 501, 1, "next");
 	disk_put_sync(wal, 3);
@@ -344,7 +344,7 @@
 	g_assert_cmpint(disk_open(&disk, &saved, &wal), ==, RESULT_OK);
 	g_assert_cmpuint(saved.n_entries, ==, 1);
 	g_assert_cmpint(saved.entries[0].index, ==, 501);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	wal_close(wal);
 	disk_clear(&disk);
 }
@@ -352,7 +352,7 @@
 /* A damaged snapshot holds accepted changes that nothing else holds. */
 static void damaged_snapshot_stops_the_start(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 	char *content;
@@ -383,7 +383,7 @@
 /* A crash before the rename leaves the old snapshot, whole. */
 static void snapshot_that_fails_leaves_the_old_one(void)
 {
-	struct raft_saved saved;
+	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
 
@@ -403,7 +403,7 @@
 	disk.rename_fails = false;
 	g_assert_cmpint(disk_open(&disk, &saved, &wal), ==, RESULT_OK);
 	g_assert_cmpint(saved.snapshot_index, ==, 5);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	wal_close(wal);
 	disk_clear(&disk);
 }
--- a/tests/agreed/site.c
+++ b/tests/agreed/site.c
@@ -26,7 +26,7 @@
 
 enum result site_apply(struct site *site, struct bytes *entry)
 {
-	applied_clear(&site->applied);
+	apply_result_clear(&site->applied);
 	agreed_apply(site->agreed, entry->data, entry->len, ++site->index,
 		     &site->applied);
 	bytes_clear(entry);
@@ -53,7 +53,7 @@
 
 void site_stop(struct site *site)
 {
-	applied_clear(&site->applied);
+	apply_result_clear(&site->applied);
 	agreed_free(site->agreed);
 }
 
--- a/tests/agreed/site.h
+++ b/tests/agreed/site.h
@@ -10,7 +10,7 @@
 	struct agreed *agreed;
 	int64_t index;
 	int64_t time_us;
-	struct applied applied; /**< of the last entry */
+	struct apply_result applied; /**< of the last entry */
 };
 
 #define SITE_SECOND_US INT64_C(1000000)
--- a/tests/agreed/usage_bench.c
+++ b/tests/agreed/usage_bench.c
@@ -125,11 +125,11 @@
 
 static void apply(struct bench *bench, struct bytes *entry)
 {
-	struct applied applied;
+	struct apply_result applied;
 
 	agreed_apply(bench->agreed, entry->data, entry->len, ++bench->index,
 		     &applied);
-	applied_clear(&applied);
+	apply_result_clear(&applied);
 	bytes_clear(entry);
 }
 
--- a/tests/control/group.c
+++ b/tests/control/group.c
@@ -53,9 +53,10 @@
 	post_after(group, to, 0, event);
 }
 
-static struct raft_saved disk_copy(const struct raft_saved *disk)
+static struct raft_persistent_state
+disk_copy(const struct raft_persistent_state *disk)
 {
-	struct raft_saved copy = *disk;
+	struct raft_persistent_state copy = *disk;
 	size_t i;
 
 	copy.snapshot = bytes_copy(&disk->snapshot);
@@ -306,7 +307,7 @@
 void group_start(struct group *group, int at)
 {
 	struct vm *vm = &group->vms[at];
-	struct raft_saved saved = disk_copy(&vm->disk);
+	struct raft_persistent_state saved = disk_copy(&vm->disk);
 	struct control_options options = {
 		.vm = vm->name,
 		.zone = "z1",
@@ -336,7 +337,7 @@
 	g_assert_cmpint(control_new(&vm->control, &options, &saved,
 				    group->now_us, &effects),
 			==, RESULT_OK);
-	raft_saved_clear(&saved);
+	raft_persistent_state_clear(&saved);
 	group_carry_out(group, at, &effects);
 }
 
@@ -356,7 +357,7 @@
 
 	if (vm->control)
 		group_kill(group, at);
-	raft_saved_clear(&vm->disk);
+	raft_persistent_state_clear(&vm->disk);
 	vm->id = 0;
 	vm->incarnation = 0;
 }
@@ -464,7 +465,7 @@
 		document_free(group->vms[i].read);
 		bytes_clear(&group->vms[i].fetched);
 		g_ptr_array_free(group->vms[i].log, TRUE);
-		raft_saved_clear(&group->vms[i].disk);
+		raft_persistent_state_clear(&group->vms[i].disk);
 	}
 	for (at = 0; at < group->answers->len; at++)
 		free(g_array_index(group->answers, struct answer, at).body);
--- a/tests/control/group_state.h
+++ b/tests/control/group_state.h
@@ -12,7 +12,7 @@
 	char name[32];
 	char address[32];
 	struct control *control;
-	struct raft_saved disk; /* all that was synced */
+	struct raft_persistent_state disk; /* all that was synced */
 	uint64_t id;
 	int64_t incarnation;
 	int64_t wall_off_us;
--- a/tests/core/site.c
+++ b/tests/core/site.c
@@ -114,7 +114,7 @@
 			      const char *settings)
 {
 	struct core_options options = { 0 };
-	struct raft_saved saved = { 0 };
+	struct raft_persistent_state saved = { 0 };
 	struct effects effects;
 	char name[3][24];
 
--- a/tests/fuzz/fuzz-entry.c
+++ b/tests/fuzz/fuzz-entry.c
@@ -12,7 +12,7 @@
 				   "000000000000000000000001";
 	struct entry_head head = { .origin = 1, .time_us = 1 };
 	struct bytes entry = { 0 };
-	struct applied applied;
+	struct apply_result applied;
 	json_t *values = json_pack("{s:{s:i} s:{}}", "team/t/class/c", "tier",
 				   0, "team/t/organisation/o");
 
@@ -20,7 +20,7 @@
 	agreed_apply(agreed, entry.data, entry.len, 1, &applied);
 	if (applied.code != RESULT_OK)
 		abort();
-	applied_clear(&applied);
+	apply_result_clear(&applied);
 	bytes_clear(&entry);
 	json_decref(values);
 }
@@ -33,15 +33,15 @@
 {
 	struct agreed *agreed = agreed_new();
 	struct agreed *restored = agreed_new();
-	struct applied applied;
+	struct apply_result applied;
 	struct bytes before = { 0 };
 	struct bytes after = { 0 };
 
 	seed(agreed);
 	agreed_apply(agreed, data, len, 2, &applied);
-	applied_clear(&applied);
+	apply_result_clear(&applied);
 	agreed_apply(agreed, data, len, 3, &applied);
-	applied_clear(&applied);
+	apply_result_clear(&applied);
 	agreed_snapshot(agreed, &before);
 	if (agreed_restore(restored, before.data, before.len) != RESULT_OK)
 		abort();
