--- a/libfilberthall/core/in_force.c
+++ b/libfilberthall/core/pending_call.c
@@ -23,12 +23,13 @@
 	for (i = 0; i < members->count; i++)
 		if (members->items[i].id != core->options.self &&
 		    raft_health(core->raft, members->items[i].id, &health) &&
-		    (double)(core->now_us - health.heard_us) > stale_ms * 1000)
+		    (double)(core->now_us - health.last_contact_us) >
+			    stale_ms * 1000)
 			silent++;
 	return silent;
 }
 
-static void in_force_tell(struct core *core, struct admin_call *waiting,
+static void in_force_tell(struct core *core, struct pending_call *waiting,
 			  enum result code)
 {
 	size_t members = 0;
@@ -47,7 +48,7 @@
 }
 
 /* Whether a waiting call can be answered now. */
-static bool in_force_settle(struct core *core, struct admin_call *waiting)
+static bool in_force_settle(struct core *core, struct pending_call *waiting)
 {
 	size_t members = 0;
 	size_t applied;
@@ -78,7 +79,7 @@
 	return true;
 }
 
-void in_force_wait(struct core *core, struct admin_call *waiting,
+void in_force_wait(struct core *core, struct pending_call *waiting,
 		   const struct bytes *args)
 {
 	json_t *root = json_loadb(args->data, args->len, 0, NULL);
@@ -91,10 +92,10 @@
 
 void in_force_tick(struct core *core)
 {
-	struct admin_call *waiting;
-	struct admin_call *next;
+	struct pending_call *waiting;
+	struct pending_call *next;
 
-	list_foreach_safe(waiting, next, &core->admin_calls, node) {
+	list_foreach_safe(waiting, next, &core->pending_calls, node) {
 		bool settled = in_force_settle(core, waiting);
 
 		if (!settled && waiting->give_up_us <= core->now_us) {
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -118,7 +118,7 @@
 			json_object_set_new(row, "silent_s",
 					    json_real(status_seconds(
 						    core->now_us -
-						    health.heard_us)));
+						    health.last_contact_us)));
 		}
 		json_array_append_new(list, row);
 	}
@@ -255,7 +255,7 @@
 static void status_write_spend(struct core *core, struct bytes *out)
 {
 	const struct windows *windows = agreed_windows(core->agreed);
-	json_t *spend = charge_describe_spend(core);
+	json_t *spend = autoscaler_describe_spend(core);
 	int64_t unsettled = windows_unsettled(windows);
 	json_t *team;
 	size_t i;
