--- a/libfilberthall/load/router.c
+++ b/libfilberthall/load/router.c
@@ -257,8 +257,8 @@
 }
 
 /** The organisation of that name; one without a rule has no limits. */
-struct organisation *organisation_of(struct router *router, const char *name,
-				     int64_t now_us)
+struct organisation *organisation_get(struct router *router, const char *name,
+				      int64_t now_us)
 {
 	struct map_node *node;
 	struct organisation *organisation;
@@ -283,7 +283,7 @@
 			     int64_t now_us)
 {
 	struct organisation *organisation =
-		organisation_of(router, rule->name, now_us);
+		organisation_get(router, rule->name, now_us);
 	struct quota_limits limits = {
 		.max_concurrent = rule->max_concurrent,
 		.requests_per_min = rule->requests_per_min,
@@ -353,9 +353,9 @@
 
 	/* A pool stands as soon as a server of it is known. */
 	map_foreach(backend, after, &fleet->backends, node) {
-		pool = pool_of(router, backend->model,
-			       backend->service[0] ? backend->service : NULL,
-			       now_us);
+		pool = pool_get(router, backend->model,
+				backend->service[0] ? backend->service : NULL,
+				now_us);
 		if (pool->fleet_version != fleet->version)
 			pool_refresh(router, pool, now_us);
 	}
--- a/libfilberthall/load/router_dispatch.c
+++ b/libfilberthall/load/router_dispatch.c
@@ -82,7 +82,7 @@
 {
 	int64_t own = (int64_t)pool_own_slots(router, pool);
 
-	if (!router_rules_pool(router))
+	if (!router_limits_pool(router))
 		return true;
 	/*
 	 * A minimum share isn't held up by headroom: where the top tier fills
@@ -225,7 +225,7 @@
 		return RESULT_EXPIRED;
 	if (router->options.features.early_refusal && !request->n_attempts &&
 	    request->target_us && now_us > request->target_us &&
-	    request_stands(request, now_us) &&
+	    request_in_standing_queue(request, now_us) &&
 	    router_may_shed(router, pool, request->tier, now_us))
 		return RESULT_DEADLINE_UNREACHABLE;
 	return RESULT_OK;
@@ -262,7 +262,7 @@
 	enum result code;
 
 	pool_refresh(router, pool, now_us);
-	pool_press(router, pool, now_us);
+	pool_update_pressure(router, pool, now_us);
 	list_foreach(queue, &pool->queues, in_pool)
 		queue->blocked = false;
 	for (;;) {
--- a/libfilberthall/load/router_pool.c
+++ b/libfilberthall/load/router_pool.c
@@ -91,8 +91,8 @@
 	return pool;
 }
 
-struct pool *pool_of(struct router *router, const char *model,
-		     const char *service, int64_t now_us)
+struct pool *pool_get(struct router *router, const char *model,
+		      const char *service, int64_t now_us)
 {
 	char *name = xstrfmt("%c:%s", service ? 's' : 'm',
 			     service ? service : (model ? model : ""));
@@ -242,7 +242,7 @@
  * A queue that hasn't been empty for twice a request's target isn't a burst
  * any more: it stands, and what waits in it only gets later (compare CoDel).
  */
-bool request_stands(const struct request *request, int64_t now_us)
+bool request_in_standing_queue(const struct request *request, int64_t now_us)
 {
 	const struct pressure *pressure =
 		&request->queue->pool->pressure[request->tier];
@@ -432,7 +432,8 @@
 }
 
 /* Note which tier waits, and since when those below it are closed. */
-void pool_press(struct router *router, struct pool *pool, int64_t now_us)
+void pool_update_pressure(struct router *router, struct pool *pool,
+			  int64_t now_us)
 {
 	int global;
 	int tier;
--- a/libfilberthall/load/router_share.c
+++ b/libfilberthall/load/router_share.c
@@ -38,7 +38,7 @@
 }
 
 /** Whether what runs before a pool is all this daemon's or its part. */
-bool router_rules_pool(const struct router *router)
+bool router_limits_pool(const struct router *router)
 {
 	return router->options.features.shares;
 }
@@ -76,7 +76,7 @@
 }
 
 /* Nobody hands out shares: each daemon takes the equal part. */
-static void router_lapse(struct router *router, int64_t now_us)
+static void router_use_equal_shares(struct router *router, int64_t now_us)
 {
 	const struct router_peers *peers = router->peers;
 	struct organisation *organisation;
@@ -126,7 +126,7 @@
 		share_free(peers->allocator_state);
 		peers->allocator_state = NULL;
 	}
-	router_lapse(router, now_us);
+	router_use_equal_shares(router, now_us);
 }
 
 static struct share_demand pool_demand(const struct pool *pool)
@@ -190,7 +190,7 @@
 		struct share_demand demand;
 
 		pool_refresh(router, pool, now_us);
-		pool_press(router, pool, now_us);
+		pool_update_pressure(router, pool, now_us);
 		demand = pool_demand(pool);
 		share_write_demand(&writer, &demand);
 	}
@@ -250,8 +250,8 @@
 	if (message->peer != router->peers->allocator ||
 	    strlen(grant->pool) < 2)
 		return;
-	pool = pool_of(router, service ? NULL : name, service ? name : NULL,
-		       message->now_us);
+	pool = pool_get(router, service ? NULL : name, service ? name : NULL,
+			message->now_us);
 	pool->grant = grant->slots;
 	pool->own_from = 0;
 	pool->own_until = 0;
@@ -263,7 +263,7 @@
 	pool->global_pressure = grant->pressured_tier < SCHED_TIERS
 					? (int)grant->pressured_tier
 					: SCHED_TIERS;
-	pool_press(router, pool, message->now_us);
+	pool_update_pressure(router, pool, message->now_us);
 }
 
 static void take_part(void *data, const struct share_limit_grant *part)
@@ -275,7 +275,7 @@
 	if (message->peer != router->peers->allocator)
 		return;
 	organisation =
-		organisation_of(router, part->organisation, message->now_us);
+		organisation_get(router, part->organisation, message->now_us);
 	quota_set_part(&organisation->quota, part->rate_fraction,
 		       part->concurrent, message->now_us);
 }
@@ -383,7 +383,7 @@
 	else
 		bytes_clear(&body);
 	if (now_us - peers->last_grant_us > SHARE_STALE_US)
-		router_lapse(router, now_us);
+		router_use_equal_shares(router, now_us);
 }
 
 /** Tell all others that a server crashed with this request on it. */
--- a/libfilberthall/load/router_state.h
+++ b/libfilberthall/load/router_state.h
@@ -222,28 +222,29 @@
 };
 
 /* router_pool.c */
-struct pool *pool_of(struct router *router, const char *model,
-		     const char *service, int64_t now_us);
+struct pool *pool_get(struct router *router, const char *model,
+		      const char *service, int64_t now_us);
 struct queue *pool_queue(struct router *router, struct pool *pool,
 			 const char *adapter, bool reclaimable);
 void pool_refresh(struct router *router, struct pool *pool, int64_t now_us);
 void pool_free(struct router *router, struct pool *pool);
-bool request_stands(const struct request *request, int64_t now_us);
+bool request_in_standing_queue(const struct request *request, int64_t now_us);
 double pool_wait_us(const struct router *router, const struct pool *pool,
 		    const struct request *request);
 double pool_own_slots(const struct router *router, const struct pool *pool);
 void pool_note_prompt(struct pool *pool, int64_t prompt_tokens);
 void pool_note_read(struct pool *pool, int64_t tokens, int64_t took_us);
 int pool_lowest_open(const struct pool *pool);
-void pool_press(struct router *router, struct pool *pool, int64_t now_us);
+void pool_update_pressure(struct router *router, struct pool *pool,
+			  int64_t now_us);
 void pool_measure(struct pool *pool, double cost, int64_t took_us);
 void pool_note_time(struct pool *pool, int class_id, int64_t took_us,
 		    int64_t now_us);
 double pool_class_us(const struct pool *pool, int class_id, int64_t now_us);
 
 /* router_submit.c */
-struct organisation *organisation_of(struct router *router, const char *name,
-				     int64_t now_us);
+struct organisation *organisation_get(struct router *router, const char *name,
+				      int64_t now_us);
 bool router_may_shed(const struct router *router, const struct pool *pool,
 		     int tier, int64_t now_us);
 void request_enqueue(struct router *router, struct request *request,
@@ -272,7 +273,7 @@
 			uint64_t server, int64_t ran_us,
 			struct effects *effects);
 bool router_shares(const struct router *router);
-bool router_rules_pool(const struct router *router);
+bool router_limits_pool(const struct router *router);
 double router_equal_share(const struct router *router);
 void router_equal_bounds(const struct router *router, double *from,
 			 double *until);
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -54,8 +54,8 @@
 }
 
 /* Limits of the key alone, which come with each request. */
-static struct key_use *key_of(struct router *router,
-			      const struct router_request *ask, int64_t now_us)
+static struct key_use *key_get(struct router *router,
+			       const struct router_request *ask, int64_t now_us)
 {
 	struct quota_limits limits = {
 		.max_concurrent = ask->key_max_concurrent,
@@ -138,9 +138,9 @@
 	request->class = class;
 	class->n_requests++;
 	request->organisation =
-		organisation_of(router, request->ask.organisation, now_us);
+		organisation_get(router, request->ask.organisation, now_us);
 	request->organisation->n_requests++;
-	request->key = key_of(router, ask, now_us);
+	request->key = key_get(router, ask, now_us);
 	if (request->key)
 		request->key->n_requests++;
 	request->tier = router->options.features.tiers ? class->rule.tier : 0;
@@ -228,7 +228,8 @@
 	if (now_us + wait_us + request_needs_us(router, request, now_us) >
 	    request->deadline_us)
 		return true;
-	return request->target_us && request_stands(request, now_us) &&
+	return request->target_us &&
+	       request_in_standing_queue(request, now_us) &&
 	       now_us + wait_us + first_us > request->target_us;
 }
 
@@ -403,7 +404,7 @@
 	code = request_count(request, now_us, retry_after_ms);
 	if (code)
 		return code;
-	pool_press(router, pool, now_us);
+	pool_update_pressure(router, pool, now_us);
 	*retry_after_ms = request_retry_after_ms(router, request);
 	if (router->options.features.early_refusal &&
 	    request_is_late(router, request, now_us) &&
@@ -455,7 +456,7 @@
 	}
 	request = request_new(router, ask, class, now_us);
 	router->open++;
-	pool = pool_of(router, ask->model, ask->service, now_us);
+	pool = pool_get(router, ask->model, ask->service, now_us);
 	request->queue =
 		pool_queue(router, pool, ask->adapter, class->rule.reclaimable);
 	request_estimate(router, request);
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -135,7 +135,7 @@
 			       request_retry_after_ms(router, request), now_us,
 			       effects);
 	else if (late && router->options.features.early_refusal &&
-		 request_stands(request, now_us) &&
+		 request_in_standing_queue(request, now_us) &&
 		 router_may_shed(router, pool, request->tier, now_us))
 		request_refuse(router, request, RESULT_DEADLINE_UNREACHABLE,
 			       request_retry_after_ms(router, request), now_us,
--- a/libfilberthall/load/share.h
+++ b/libfilberthall/load/share.h
@@ -123,7 +123,7 @@
 /** Work out a round; the calls below then tell each daemon its part. */
 void share_allocate(struct share *share, int64_t now_us);
 
-/** Visit the grants and parts of one member after share_round(). */
+/** Visit the grants and parts of one member after share_allocate(). */
 void share_visit(const struct share *share, uint64_t member,
 		 void (*grant)(void *data, const struct share_grant *grant),
 		 void (*part)(void *data, const struct share_limit_grant *part),
