--- a/libfilberthall/load/router.c
+++ b/libfilberthall/load/router.c
@@ -13,7 +13,7 @@
 
 	if (x->timer_us != y->timer_us)
 		return x->timer_us < y->timer_us;
-	return x->ask.id < y->ask.id;
+	return x->spec.id < y->spec.id;
 }
 
 static bool class_match(const struct map_node *node, const void *key)
@@ -86,7 +86,7 @@
 	}
 	if (request->state == REQUEST_WAITING)
 		request_dequeue(router, request);
-	request_forget(router, request);
+	request_free(router, request);
 }
 
 void router_free(struct router *router)
@@ -195,7 +195,7 @@
 		int64_t since_us = request->waiting_since_us;
 
 		list_remove(&request->in_class);
-		request_take_rule(router, request);
+		request_apply_class(router, request);
 		request_enqueue(router, request, now_us);
 		request->waiting_since_us = since_us;
 	}
@@ -336,8 +336,8 @@
 	struct request *next;
 
 	map_foreach(request, next, &router->requests, node)
-		if (request->ask.key_id && request->state != REQUEST_ENDED &&
-		    !strcmp(request->ask.key_id, key_id))
+		if (request->spec.key_id && request->state != REQUEST_ENDED &&
+		    !strcmp(request->spec.key_id, key_id))
 			request_end(router, request, RESULT_KEY_WITHDRAWN, NULL,
 				    now_us, effects);
 }
@@ -373,13 +373,13 @@
 }
 
 /* What may run twice moves on; the rest may still end by itself. */
-static void pool_leave(struct pool *pool, const char *address,
-		       struct effects *effects)
+static void pool_cancel_attempts(struct pool *pool, const char *address,
+				 struct effects *effects)
 {
 	struct attempt *attempt;
 
 	list_foreach(attempt, &pool->running_list, in_pool)
-		if (attempt->request->ask.idempotent &&
+		if (attempt->request->spec.idempotent &&
 		    !strcmp(attempt->address, address))
 			attempt_cancel(attempt, RESULT_BACKEND_BROKE, effects);
 }
@@ -394,7 +394,7 @@
 	if (backend)
 		health_failed(&backend->health, now_us);
 	map_foreach(pool, next, &router->pools, node)
-		pool_leave(pool, address, effects);
+		pool_cancel_attempts(pool, address, effects);
 }
 
 void router_drain(struct router *router, int64_t now_us)
--- a/libfilberthall/load/router_attempt.c
+++ b/libfilberthall/load/router_attempt.c
@@ -36,7 +36,7 @@
 
 	if (bound_ms < ATTEMPT_SILENT_MS)
 		bound_ms = ATTEMPT_SILENT_MS;
-	if (!proven && request->ask.stream && left_ms > bound_ms)
+	if (!proven && request->spec.stream && left_ms > bound_ms)
 		left_ms = bound_ms;
 	return left_ms > ATTEMPT_FIRST_BYTE_MS ? left_ms
 					       : ATTEMPT_FIRST_BYTE_MS;
@@ -50,10 +50,10 @@
 		&effects_add(effects, EFFECT_START_ATTEMPT)->u.start;
 	int64_t left_ms = (request->deadline_us - now_us) / 1000;
 
-	start->id = request->ask.id;
+	start->id = request->spec.id;
 	start->attempt = attempt->number;
 	start->address = xstrdup(attempt->address);
-	start->trace = xstrdup(request->ask.trace);
+	start->trace = xstrdup(request->spec.trace);
 	start->priority = request->class->rule.tier;
 	start->connect_ms = ATTEMPT_CONNECT_MS;
 	start->idle_ms = ATTEMPT_IDLE_MS;
@@ -64,14 +64,15 @@
 	 * may a second attempt meet the fate of the first: what silenced one
 	 * connection often silenced those to other servers as well.
 	 */
-	start->proven = !request->ask.idempotent || attempt->number > 1;
+	start->proven = !request->spec.idempotent || attempt->number > 1;
 	start->first_byte_ms =
 		attempt_first_byte_ms(request, start->proven, left_ms);
-	start->keep_answer = request->ask.keep_answer;
+	start->keep_answer = request->spec.keep_answer;
 	start->keep_limit = ATTEMPT_KEEP_LIMIT;
 }
 
-static void attempt_count(struct attempt *attempt, struct pool *pool, int by)
+static void pool_count_attempt(struct attempt *attempt, struct pool *pool,
+			       int by)
 {
 	const struct request *request = attempt->request;
 
@@ -100,15 +101,15 @@
 	memcpy(attempt->address, backend->address, sizeof(attempt->address));
 	memcpy(request->address, backend->address, sizeof(request->address));
 	attempt->started_us = now_us;
-	attempt->base = request->ask.stream ? request->delivered : 0;
+	attempt->base = request->spec.stream ? request->delivered : 0;
 	attempt->work = request->entry.cost;
 	attempt->is_long = request->is_long;
 	attempt->by_floor = by_floor;
 	attempt->on_cheap = backend->cheap;
 	attempt->slots = backend->slots > 0 ? backend->slots : 1;
-	attempt->prompt_tokens = request->ask.prompt_tokens;
+	attempt->prompt_tokens = request->spec.prompt_tokens;
 	holds = prefix_holds(prefix_find(&router->prefix,
-					 request->ask.prefix_hash),
+					 request->spec.prefix_hash),
 			     backend->node.hash);
 	if (router->options.features.homes) {
 		place = request_place(router, request);
@@ -121,21 +122,21 @@
 		divide_started(&pool->divide, attempt->slots);
 		divide_used(&pool->divide,
 			    1e6 * (double)attempt->prompt_tokens /
-				    pool->read_rate,
+				    pool->prefill_rate,
 			    now_us);
 	}
 	backend_started(backend, attempt->prompt_tokens, attempt->work,
 			attempt->is_long, now_us);
-	prefix_note(&router->prefix, request->ask.prefix_hash, backend->address,
-		    true);
+	prefix_note(&router->prefix, request->spec.prefix_hash,
+		    backend->address, true);
 	list_append(&request->attempts, &attempt->in_request);
 	list_append(&pool->running_list, &attempt->in_pool);
-	attempt_count(attempt, pool, 1);
+	pool_count_attempt(attempt, pool, 1);
 	request->state = REQUEST_RUNNING;
 	attempt_effect(attempt, effects, now_us);
 	router_span(router, request, "pick", now_us, now_us, RESULT_OK,
 		    attempt->address, effects);
-	request_rearm(router, request, now_us);
+	request_update_timer(router, request, now_us);
 }
 
 /** Ask for the end of an attempt; it counts as long as it hasn't come. */
@@ -149,7 +150,7 @@
 	attempt->cancelled = true;
 	attempt->cancel_code = why;
 	cancel = &effects_add(effects, EFFECT_CANCEL_ATTEMPT)->u.cancel;
-	cancel->id = attempt->request->ask.id;
+	cancel->id = attempt->request->spec.id;
 	cancel->attempt = attempt->number;
 }
 
@@ -209,12 +210,12 @@
 	backend = fleet_find(router->options.fleet, attempt->address);
 	if (backend)
 		backend_prefilled(backend, attempt->prompt_tokens);
-	pool_note_read(pool, attempt->prompt_tokens,
-		       now_us - attempt->started_us);
+	pool_record_prefill(pool, attempt->prompt_tokens,
+			    now_us - attempt->started_us);
 	attempt->prompt_tokens = 0;
 	/* The engine generates anew what the caller has already had. */
 	request->wasted += attempt->base;
-	request_rearm(router, request, now_us);
+	request_update_timer(router, request, now_us);
 }
 
 /* The caller's view: a pause counts also where another server goes on. */
@@ -246,7 +247,7 @@
 	attempt->sent = true;
 	request->may_have_run = true;
 	attempt->tokens = tokens->tokens;
-	if (request->ask.stream) {
+	if (request->spec.stream) {
 		request->delivered = attempt->base + attempt->tokens;
 		request_note_piece(request, now_us);
 	}
@@ -275,7 +276,7 @@
 			    now_us);
 	if (attempt->cancelled && attempt->cancel_code == RESULT_PREEMPTED)
 		pool->n_preempting--;
-	attempt_count(attempt, pool, -1);
+	pool_count_attempt(attempt, pool, -1);
 	list_remove(&attempt->in_pool);
 	list_remove(&attempt->in_request);
 	free(attempt);
@@ -288,9 +289,10 @@
 }
 
 /* What an attempt's end says about its server. */
-static void attempt_judge(struct router *router, const struct attempt *attempt,
-			  const struct event_attempt_ended *ended,
-			  int64_t now_us, struct effects *effects)
+static void attempt_update_health(struct router *router,
+				  const struct attempt *attempt,
+				  const struct event_attempt_ended *ended,
+				  int64_t now_us, struct effects *effects)
 {
 	struct pool *pool = attempt->request->queue->pool;
 	struct backend *backend;
@@ -303,9 +305,10 @@
 						? now_us - attempt->first_us
 						: 0,
 					now_us);
-		pool_measure(pool, attempt->work, now_us - attempt->started_us);
-		pool_note_time(pool, attempt->request->class->id,
-			       now_us - attempt->started_us, now_us);
+		pool_record_cost(pool, attempt->work,
+				 now_us - attempt->started_us);
+		pool_record_time(pool, attempt->request->class->id,
+				 now_us - attempt->started_us, now_us);
 		return;
 	}
 	if (attempt->cancelled || !code_is_fault(ended->code))
@@ -322,9 +325,9 @@
 }
 
 /* A crash is counted against the request, on this VM and the others. */
-static bool attempt_poisoned(struct router *router,
-			     const struct attempt *attempt, int64_t now_us,
-			     struct effects *effects)
+static bool attempt_record_crash(struct router *router,
+				 const struct attempt *attempt, int64_t now_us,
+				 struct effects *effects)
 {
 	struct request *request = attempt->request;
 	uint64_t server = map_hash_text(attempt->address);
@@ -353,7 +356,7 @@
 	request->delivered = tokens;
 	if (ended->prompt_tokens)
 		request->prompt_tokens = ended->prompt_tokens;
-	if (request->ask.model) {
+	if (request->spec.model) {
 		true_cost = request->entry.cost + (double)tokens -
 			    (double)request->estimate;
 		if (router->options.features.fairness)
@@ -367,11 +370,11 @@
 }
 
 /* Wait for another attempt, in the old place by due time. */
-static void request_again(struct router *router, struct request *request,
-			  const struct attempt *attempt, int64_t now_us)
+static void request_requeue(struct router *router, struct request *request,
+			    const struct attempt *attempt, int64_t now_us)
 {
 	memcpy(request->avoid, attempt->address, sizeof(request->avoid));
-	if (!request->ask.stream)
+	if (!request->spec.stream)
 		request->wasted += attempt->tokens;
 	request_enqueue(router, request, now_us);
 }
@@ -385,8 +388,8 @@
 		.code = ended->code,
 		.http_status = ended->http_status,
 		.sent = request->may_have_run,
-		.idempotent = request->ask.idempotent,
-		.most = request->ask.attempts_most,
+		.idempotent = request->spec.idempotent,
+		.most = request->spec.attempts_most,
 		.sendings = request->n_attempts,
 		.arrived = request->arrived,
 		.tier = request->tier < RULE_TIERS ? request->tier
@@ -401,23 +404,23 @@
 	why.attempts = request->n_attempts - request->n_rejected;
 
 	if (ended->code == RESULT_BACKEND_BROKE && request->may_have_run &&
-	    attempt_poisoned(router, attempt, now_us, effects)) {
+	    attempt_record_crash(router, attempt, now_us, effects)) {
 		request_end(router, request, RESULT_POISON, ended, now_us,
 			    effects);
 		return;
 	}
 	code = retry_ask(&request->queue->pool->retry, &why, now_us);
 	if (code) {
-		if (!request->ask.stream)
+		if (!request->spec.stream)
 			request->wasted += attempt->tokens;
 		request_end(router, request, code, ended, now_us, effects);
 		return;
 	}
-	request_again(router, request, attempt, now_us);
+	request_requeue(router, request, attempt, now_us);
 }
 
 /* Cancelled to make room or to try elsewhere: it waits again. */
-static void request_displaced(struct router *router, struct request *request,
+static void request_cancelled(struct router *router, struct request *request,
 			      const struct attempt *attempt, int64_t now_us,
 			      struct effects *effects)
 {
@@ -427,7 +430,7 @@
 			    effects);
 		return;
 	}
-	request_again(router, request, attempt, now_us);
+	request_requeue(router, request, attempt, now_us);
 	if (attempt->cancel_code == RESULT_PREEMPTED)
 		request->avoid[0] = '\0';
 }
@@ -450,7 +453,7 @@
 		request->may_have_run = true;
 	if (ended->sent || ended->code != RESULT_BACKEND_CONNECT)
 		request->arrived = true;
-	attempt_judge(router, attempt, ended, now_us, effects);
+	attempt_update_health(router, attempt, ended, now_us, effects);
 	router_span(router, request, "attempt", attempt->started_us, now_us,
 		    (enum result)ended->code, attempt->address, effects);
 	if (attempt->first_us)
@@ -462,17 +465,17 @@
 	 * Tokens go on to the caller until the edge carries the cancel out.
 	 * Were they not counted, the next attempt would give them again.
 	 */
-	if (request->ask.stream &&
+	if (request->spec.stream &&
 	    (!copy.cancelled || request->delivered < copy.base + ended->tokens))
 		request->delivered = copy.base + ended->tokens;
 	attempt_remove(router, attempt, now_us);
 	if (request->state == REQUEST_ENDED) {
 		if (list_empty(&request->attempts))
-			request_forget(router, request);
+			request_free(router, request);
 	} else if (ended->code == RESULT_OK) {
 		request_succeed(router, request, &copy, ended, now_us, effects);
 	} else if (copy.cancelled) {
-		request_displaced(router, request, &copy, now_us, effects);
+		request_cancelled(router, request, &copy, now_us, effects);
 	} else {
 		request_failed(router, request, &copy, ended, now_us, effects);
 	}
--- a/libfilberthall/load/router_dispatch.c
+++ b/libfilberthall/load/router_dispatch.c
@@ -38,7 +38,7 @@
 /* The next by tier; between queues of a tier, the one due first. */
 static struct request *pool_next_tier(const struct pool *pool)
 {
-	int lowest = pool_lowest_open(pool);
+	int lowest = pool_lowest_served_tier(pool);
 	struct sched_entry *best = NULL;
 	struct sched_entry *entry;
 	struct queue *queue;
@@ -141,20 +141,20 @@
 	const struct pool *pool = request->queue->pool;
 	struct divide_query side = {
 		.pause_us = request->class->rule.pause_us,
-		.prompt_tokens = request->ask.prompt_tokens,
+		.prompt_tokens = request->spec.prompt_tokens,
 		.mean_prompt = pool->mean_prompt,
-		.rate = pool->read_rate,
+		.rate = pool->prefill_rate,
 	};
 	struct place_query query = {
-		.prefix_hash = request->ask.prefix_hash,
-		.shared_tokens = request->ask.shared_tokens,
-		.prompt_tokens = request->ask.prompt_tokens,
+		.prefix_hash = request->spec.prefix_hash,
+		.shared_tokens = request->spec.shared_tokens,
+		.prompt_tokens = request->spec.prompt_tokens,
 		.divided = pool->mean_prompt > 0,
 		.paced = divide_is_paced(&pool->divide, &side),
-		.rate = pool->read_rate,
+		.rate = pool->prefill_rate,
 		.zone = router->zone,
 		.prefix =
-			prefix_find(&router->prefix, request->ask.prefix_hash),
+			prefix_find(&router->prefix, request->spec.prefix_hash),
 	};
 
 	return query;
@@ -170,11 +170,11 @@
 {
 	struct pool *pool = request->queue->pool;
 	struct pick_query query = {
-		.adapter = request->ask.adapter,
+		.adapter = request->spec.adapter,
 		.zone = router->zone,
 		.avoid = request->avoid[0] ? request->avoid : NULL,
-		.prompt_tokens = request->ask.prompt_tokens,
-		.hold_us = pool->unit_us * pool->mean_cost,
+		.prompt_tokens = request->spec.prompt_tokens,
+		.hold_us = pool->us_per_token * pool->mean_cost,
 	};
 	double slots = pool->slots + pool->cheap_slots;
 	struct backend *backend = NULL;
@@ -182,14 +182,14 @@
 
 	query.mean_load = slots > 0 ? pool->load / slots : 0;
 
-	if (request->ask.prefix_hash)
+	if (request->spec.prefix_hash)
 		query.prefix =
-			prefix_find(&router->prefix, request->ask.prefix_hash);
+			prefix_find(&router->prefix, request->spec.prefix_hash);
 	query.place = request_place(router, request);
 	query.place.draw = query.place.prefix_hash ? query.place.prefix_hash
 						   : rng_next(&router->rng);
 	for (tier = 0; request->is_long && tier <= request->tier; tier++)
-		query.cap_long |= now_us - pool->pressure[tier].short_us <
+		query.cap_long |= now_us - pool->pressure[tier].last_short_us <
 				  DISPATCH_SHORT_US;
 	if (request->queue->reclaimable && pool->cheap_slots > 0) {
 		query.cheap = true;
@@ -214,14 +214,13 @@
 
 /* Too late to be of use: the deadline is past, or the target is and the
  * queue stands. */
-static enum result request_is_over(const struct router *router,
-				   const struct request *request,
-				   int64_t now_us)
+static enum result request_expiry(const struct router *router,
+				  const struct request *request, int64_t now_us)
 {
 	const struct pool *pool = request->queue->pool;
 
 	if (now_us >= request->deadline_us ||
-	    (request->ask.send_by_us && now_us > request->ask.send_by_us))
+	    (request->spec.send_by_us && now_us > request->spec.send_by_us))
 		return RESULT_EXPIRED;
 	if (router->options.features.early_refusal && !request->n_attempts &&
 	    request->target_us && now_us > request->target_us &&
@@ -272,7 +271,7 @@
 			request = pool_next_tier(pool);
 		if (!request)
 			break;
-		code = request_is_over(router, request, now_us);
+		code = request_expiry(router, request, now_us);
 		if (code) {
 			request_refuse(router, request, code,
 				       request_retry_after_ms(router, request),
--- a/libfilberthall/load/router_end.c
+++ b/libfilberthall/load/router_end.c
@@ -6,7 +6,7 @@
 
 static bool request_match(const struct map_node *node, const void *key)
 {
-	return container_of(node, struct request, node)->ask.id ==
+	return container_of(node, struct request, node)->spec.id ==
 	       *(const uint64_t *)key;
 }
 
@@ -34,7 +34,8 @@
 	return NULL;
 }
 
-void request_arm(struct router *router, struct request *request, int64_t at_us)
+void request_set_timer(struct router *router, struct request *request,
+		       int64_t at_us)
 {
 	request->timer_us = at_us;
 	if (!request->timer.place)
@@ -59,18 +60,18 @@
 
 static void request_free_text(struct request *request)
 {
-	free((char *)request->ask.organisation);
-	free((char *)request->ask.key_id);
-	free((char *)request->ask.class_name);
-	free((char *)request->ask.model);
-	free((char *)request->ask.adapter);
-	free((char *)request->ask.service);
-	free((char *)request->ask.body_hash);
-	free((char *)request->ask.trace);
+	free((char *)request->spec.organisation);
+	free((char *)request->spec.key_id);
+	free((char *)request->spec.class_name);
+	free((char *)request->spec.model);
+	free((char *)request->spec.adapter);
+	free((char *)request->spec.service);
+	free((char *)request->spec.body_hash);
+	free((char *)request->spec.trace);
 }
 
 /** Free a request that has been answered and has no attempts left. */
-void request_forget(struct router *router, struct request *request)
+void request_free(struct router *router, struct request *request)
 {
 	heap_remove(&router->timers, &request->timer);
 	map_remove(&router->requests, &request->node);
@@ -125,26 +126,26 @@
 {
 	const struct router_hooks *hooks = &router->options.hooks;
 	struct router_outcome outcome = {
-		.id = request->ask.id,
+		.id = request->spec.id,
 		.code = code,
 		.run = run,
-		.organisation = request->ask.organisation,
-		.class_name = request->ask.class_name,
-		.model = request->ask.model,
+		.organisation = request->spec.organisation,
+		.class_name = request->spec.class_name,
+		.model = request->spec.model,
 		.address = request->address[0] ? request->address : NULL,
 		.tier = request->class->rule.tier,
 		.attempts = request->n_attempts,
 		.prompt_tokens = request->prompt_tokens,
 		.output_tokens = request->delivered,
 		.wasted_tokens = request->wasted,
-		.arrived_us = request->ask.arrived_us,
+		.arrived_us = request->spec.arrived_us,
 		.first_token_us = request->first_token_us,
 		.pause_us = request->pause_us,
 		.ended_us = now_us,
 		.attained = request_attained(request, code, now_us),
 	};
 
-	if (ended && request->ask.keep_answer) {
+	if (ended && request->spec.keep_answer) {
 		outcome.answer = &ended->answer;
 		outcome.content_type = ended->content_type;
 	}
@@ -162,15 +163,15 @@
 	int64_t used =
 		request->prompt_tokens + request->delivered + request->wasted;
 
-	if (code == RESULT_OK && request->ask.model)
-		length_note(&router->length, request->ask.class_name,
-			    request->ask.model, request->delivered);
-	if (!request->counted)
+	if (code == RESULT_OK && request->spec.model)
+		length_note(&router->length, request->spec.class_name,
+			    request->spec.model, request->delivered);
+	if (!request->limits_charged)
 		return;
 	if (request->n_attempts)
-		quota_release(quota, used - request->charged, now_us);
+		quota_release(quota, used - request->charged_tokens, now_us);
 	else
-		quota_undo(quota, request->charged, now_us);
+		quota_undo(quota, request->charged_tokens, now_us);
 	if (request->key && request->n_attempts)
 		quota_release(&request->key->quota, 0, now_us);
 	else if (request->key)
@@ -183,7 +184,7 @@
 {
 	struct effect *effect = effects_add(effects, EFFECT_ANSWER);
 
-	effect->u.answer.id = request->ask.id;
+	effect->u.answer.id = request->spec.id;
 	effect->u.answer.code = code;
 	effect->u.answer.run = run;
 	effect->u.answer.retry_after_ms = retry_after_ms;
@@ -210,7 +211,7 @@
 	list_foreach(attempt, &request->attempts, in_request) {
 		if (attempt->cancelled)
 			continue;
-		if (!request->ask.stream)
+		if (!request->spec.stream)
 			request->wasted += attempt->tokens;
 		attempt_cancel(attempt, code, effects);
 	}
@@ -221,7 +222,7 @@
 	request_report(router, request, code, run, ended, now_us);
 	request->class->running -= request->n_attempts > 0;
 	if (list_empty(&request->attempts))
-		request_forget(router, request);
+		request_free(router, request);
 }
 
 /** Give a request up; its caller is told at once when to come back. */
--- a/libfilberthall/load/router_log.c
+++ b/libfilberthall/load/router_log.c
@@ -9,8 +9,8 @@
 		 const char *name, int64_t start_us, int64_t end_us,
 		 enum result code, const char *detail, struct effects *effects)
 {
-	struct span_note note = { request->ask.id,
-				  request->ask.trace,
+	struct span_note note = { request->spec.id,
+				  request->spec.trace,
 				  name,
 				  start_us,
 				  end_us,
@@ -35,7 +35,7 @@
 	log->message = xstrdup(text);
 	if (!request)
 		return;
-	log->id = request->ask.id;
-	log->organisation = xstrdup(request->ask.organisation);
-	log->class_name = xstrdup(request->ask.class_name);
+	log->id = request->spec.id;
+	log->organisation = xstrdup(request->spec.organisation);
+	log->class_name = xstrdup(request->spec.class_name);
 }
--- a/libfilberthall/load/router_pool.c
+++ b/libfilberthall/load/router_pool.c
@@ -6,7 +6,7 @@
 #include "load/router_state.h"
 
 /* A tier whose oldest has waited for so much of its target is pressed. */
-#define POOL_PRESSURE_SHARE 0.75
+#define POOL_PRESSURE_FRACTION 0.75
 
 /*
  * Lower tiers stay closed for so long after that. A request of the pressed
@@ -37,17 +37,17 @@
 #define POOL_CLASS_HALF_US 2000000.0
 
 /* Until measured: a request's work in tokens and time in a slot. */
-#define POOL_COST_UNKNOWN 300.0
-#define POOL_UNIT_UNKNOWN_US 20000.0
+#define POOL_DEFAULT_COST 300.0
+#define POOL_DEFAULT_US_PER_TOKEN 20000.0
 
 /* Until measured: prompt tokens that an engine reads a second. */
-#define POOL_READ_UNKNOWN 20000.0
+#define POOL_DEFAULT_PREFILL_RATE 20000.0
 
 /* Shorter prompts say little about the pace of reading. */
-#define POOL_READ_LEAST 4000
+#define POOL_PREFILL_MIN_TOKENS 4000
 
 /* A best pace that isn't seen again fades by half in some 350 answers. */
-#define POOL_READ_FADE 0.002
+#define POOL_PREFILL_DECAY 0.002
 
 static bool pool_match(const struct map_node *node, const void *key)
 {
@@ -70,18 +70,18 @@
 	retry_limit(&pool->retry, &router->retry_limit);
 	floor_init(&pool->floor);
 	divide_init(&pool->divide);
-	pool->unit_us = POOL_UNIT_UNKNOWN_US;
-	pool->mean_cost = POOL_COST_UNKNOWN;
-	pool->mean_log_cost = log(POOL_COST_UNKNOWN);
-	pool->read_rate = POOL_READ_UNKNOWN;
+	pool->us_per_token = POOL_DEFAULT_US_PER_TOKEN;
+	pool->mean_cost = POOL_DEFAULT_COST;
+	pool->mean_log_cost = log(POOL_DEFAULT_COST);
+	pool->prefill_rate = POOL_DEFAULT_PREFILL_RATE;
 	pool->grant = -1;
-	pool->local_pressure = SCHED_TIERS;
-	pool->global_pressure = SCHED_TIERS;
+	pool->local_pressured_tier = SCHED_TIERS;
+	pool->global_pressured_tier = SCHED_TIERS;
 	for (i = 0; i < SCHED_TIERS; i++) {
 		list_init(&pool->pressure[i].order);
-		pool->pressure[i].pressed_us = INT64_MIN / 2;
-		pool->pressure[i].empty_us = now_us;
-		pool->pressure[i].short_us = INT64_MIN / 2;
+		pool->pressure[i].last_pressure_us = INT64_MIN / 2;
+		pool->pressure[i].last_empty_us = now_us;
+		pool->pressure[i].last_short_us = INT64_MIN / 2;
 	}
 	if (router->options.features.min_shares)
 		map_foreach(class, next, &router->classes, node)
@@ -246,10 +246,10 @@
 {
 	const struct pressure *pressure =
 		&request->queue->pool->pressure[request->tier];
-	int64_t target_us = request->target_us - request->ask.arrived_us;
+	int64_t target_us = request->target_us - request->spec.arrived_us;
 
 	return pressure->waiting > 0 &&
-	       now_us - pressure->empty_us > 2 * target_us;
+	       now_us - pressure->last_empty_us > 2 * target_us;
 }
 
 double pool_own_slots(const struct router *router, const struct pool *pool)
@@ -272,7 +272,7 @@
 					  request->tier, 0);
 	if (ahead <= 0 && (double)pool->running < slots)
 		return 0;
-	return (ahead + pool->mean_cost) * pool->unit_us / slots;
+	return (ahead + pool->mean_cost) * pool->us_per_token / slots;
 }
 
 /* Work ahead in the class, at the pace of its minimum share. */
@@ -291,7 +291,7 @@
 	ahead -= pool->floor.classes[id].credit;
 	if (ahead < 0)
 		ahead = 0;
-	return ahead * pool->unit_us / (slots * share);
+	return ahead * pool->us_per_token / (slots * share);
 }
 
 /* Reclaimable work ahead, at the pace of the cheap servers. */
@@ -310,7 +310,7 @@
 			ahead += sched_work_ahead(&queue->sched,
 						  request->organisation->id,
 						  request->tier, 0);
-	return ahead * pool->unit_us / slots;
+	return ahead * pool->us_per_token / slots;
 }
 
 /** Expected wait: by its tier's turn or its class's minimum share. */
@@ -330,13 +330,13 @@
 	return fmin(by_cheap, fmin(by_tier, by_share));
 }
 
-void pool_measure(struct pool *pool, double cost, int64_t took_us)
+void pool_record_cost(struct pool *pool, double cost, int64_t took_us)
 {
 	double gain;
 
 	if (cost <= 0)
 		return;
-	gain = 1.0 / (double)++pool->n_measured;
+	gain = 1.0 / (double)++pool->n_samples;
 	if (gain < POOL_GAIN)
 		gain = POOL_GAIN;
 	pool->mean_cost += gain * (cost - pool->mean_cost);
@@ -345,11 +345,12 @@
 	gain *= cost / pool->mean_cost;
 	if (gain > 1)
 		gain = 1;
-	pool->unit_us += gain * ((double)took_us / cost - pool->unit_us);
+	pool->us_per_token +=
+		gain * ((double)took_us / cost - pool->us_per_token);
 }
 
-void pool_note_time(struct pool *pool, int class_id, int64_t took_us,
-		    int64_t now_us)
+void pool_record_time(struct pool *pool, int class_id, int64_t took_us,
+		      int64_t now_us)
 {
 	struct class_time *time = &pool->times[class_id];
 
@@ -373,7 +374,7 @@
 	return time->mean_us * exp2(-(double)age_us / POOL_CLASS_HALF_US);
 }
 
-void pool_note_prompt(struct pool *pool, int64_t prompt_tokens)
+void pool_record_prompt(struct pool *pool, int64_t prompt_tokens)
 {
 	if (pool->mean_prompt <= 0)
 		pool->mean_prompt = (double)prompt_tokens;
@@ -386,30 +387,30 @@
  * come later than by reading alone, for all that an engine does beside it, so
  * a mean would be far too low.
  */
-void pool_note_read(struct pool *pool, int64_t tokens, int64_t took_us)
+void pool_record_prefill(struct pool *pool, int64_t tokens, int64_t took_us)
 {
 	double rate;
 
-	if (tokens < POOL_READ_LEAST || took_us <= 0)
+	if (tokens < POOL_PREFILL_MIN_TOKENS || took_us <= 0)
 		return;
 	rate = (double)tokens * 1e6 / (double)took_us;
-	pool->read_rate *= 1 - POOL_READ_FADE;
-	if (rate > pool->read_rate)
-		pool->read_rate = rate;
+	pool->prefill_rate *= 1 - POOL_PREFILL_DECAY;
+	if (rate > pool->prefill_rate)
+		pool->prefill_rate = rate;
 }
 
-int pool_lowest_open(const struct pool *pool)
+int pool_lowest_served_tier(const struct pool *pool)
 {
 	int lowest = SCHED_TIERS - 1;
 
-	if (pool->local_pressure < lowest)
-		lowest = pool->local_pressure;
-	if (pool->global_pressure < lowest)
-		lowest = pool->global_pressure;
+	if (pool->local_pressured_tier < lowest)
+		lowest = pool->local_pressured_tier;
+	if (pool->global_pressured_tier < lowest)
+		lowest = pool->global_pressured_tier;
 	return lowest;
 }
 
-static bool tier_is_pressed(const struct pressure *pressure, int64_t now_us)
+static bool tier_under_pressure(const struct pressure *pressure, int64_t now_us)
 {
 	const struct request *oldest;
 	int64_t due_us;
@@ -420,15 +421,17 @@
 	due_us = oldest->target_us ? oldest->target_us : oldest->deadline_us;
 	/* A retried one is late by its server, not for want of room. */
 	return (double)(now_us - oldest->waiting_since_us) >
-	       POOL_PRESSURE_SHARE * (double)(due_us - oldest->ask.arrived_us);
+	       POOL_PRESSURE_FRACTION *
+		       (double)(due_us - oldest->spec.arrived_us);
 }
 
 /* Whether the tier is pressed or has been within the hold. */
-static bool tier_is_held(struct pressure *pressure, int64_t now_us)
+static bool tier_recently_under_pressure(struct pressure *pressure,
+					 int64_t now_us)
 {
-	if (tier_is_pressed(pressure, now_us))
-		pressure->pressed_us = now_us;
-	return now_us - pressure->pressed_us < POOL_PRESSURE_HOLD_US;
+	if (tier_under_pressure(pressure, now_us))
+		pressure->last_pressure_us = now_us;
+	return now_us - pressure->last_pressure_us < POOL_PRESSURE_HOLD_US;
 }
 
 /* Note which tier waits, and since when those below it are closed. */
@@ -438,16 +441,16 @@
 	int global;
 	int tier;
 
-	pool->local_pressure = SCHED_TIERS;
+	pool->local_pressured_tier = SCHED_TIERS;
 	for (tier = SCHED_TIERS - 1; tier >= 0; tier--)
-		if (tier_is_held(&pool->pressure[tier], now_us))
-			pool->local_pressure = tier;
-	global = router_shares(router) ? pool->global_pressure
-				       : pool->local_pressure;
+		if (tier_recently_under_pressure(&pool->pressure[tier], now_us))
+			pool->local_pressured_tier = tier;
+	global = router_shares(router) ? pool->global_pressured_tier
+				       : pool->local_pressured_tier;
 	for (tier = 0; tier < SCHED_TIERS; tier++) {
 		if (global > tier)
-			pool->closed_us[tier] = 0;
-		else if (!pool->closed_us[tier])
-			pool->closed_us[tier] = now_us;
+			pool->lower_closed_us[tier] = 0;
+		else if (!pool->lower_closed_us[tier])
+			pool->lower_closed_us[tier] = now_us;
 	}
 }
--- a/libfilberthall/load/router_preempt.c
+++ b/libfilberthall/load/router_preempt.c
@@ -12,11 +12,11 @@
 	const struct backend *backend =
 		fleet_find(router->options.fleet, attempt->address);
 	struct pick_query query = {
-		.adapter = waiting->ask.adapter,
+		.adapter = waiting->spec.adapter,
 	};
 	struct preempt_victim victim = {
 		.tier = request->tier,
-		.idempotent = request->ask.idempotent,
+		.idempotent = request->spec.idempotent,
 		.by_floor = attempt->by_floor,
 		.started_us = attempt->started_us,
 	};
@@ -62,7 +62,8 @@
 	struct queue *queue;
 
 	list_foreach(queue, &pool->queues, in_pool) {
-		entry = sched_next(&queue->sched, pool_lowest_open(pool));
+		entry = sched_next(&queue->sched,
+				   pool_lowest_served_tier(pool));
 		if (!entry)
 			continue;
 		if (!best || sched_tier_of(entry) < sched_tier_of(best))
@@ -75,10 +76,10 @@
  * How many of a tier's waiting requests won't find a slot by itself in time:
  * slots come free one after the other as what runs ends.
  */
-static int64_t pool_short_of(const struct pool *pool,
-			     const struct request *first, int64_t now_us)
+static int64_t pool_missing_slots(const struct pool *pool,
+				  const struct request *first, int64_t now_us)
 {
-	double hold_us = pool->unit_us * pool->mean_cost;
+	double hold_us = pool->us_per_token * pool->mean_cost;
 	double running = pool->running > 0 ? (double)pool->running : 1;
 	double left_us = (double)(first->entry.due_us - now_us) -
 			 pool->first_token_us - (double)PREEMPT_FREE_US;
@@ -105,7 +106,7 @@
 	waiting = pool_first_waiting(pool);
 	if (!waiting)
 		return;
-	n = pool_short_of(pool, waiting, now_us);
+	n = pool_missing_slots(pool, waiting, now_us);
 	while (pool->n_preempting < n) {
 		victim = pool_victim(router, pool, waiting, now_us);
 		if (!victim || !preempt_spend(&router->preempt,
--- a/libfilberthall/load/router_share.c
+++ b/libfilberthall/load/router_share.c
@@ -133,7 +133,7 @@
 {
 	struct share_demand demand = {
 		.slots = (int64_t)pool->slots,
-		.pressured_tier = pool->local_pressure,
+		.pressured_tier = pool->local_pressured_tier,
 	};
 	int tier;
 
@@ -260,9 +260,9 @@
 		pool->own_until = (double)(grant->offset + grant->slots) /
 				  (double)grant->total;
 	}
-	pool->global_pressure = grant->pressured_tier < SCHED_TIERS
-					? (int)grant->pressured_tier
-					: SCHED_TIERS;
+	pool->global_pressured_tier = grant->pressured_tier < SCHED_TIERS
+					      ? (int)grant->pressured_tier
+					      : SCHED_TIERS;
 	pool_update_pressure(router, pool, message->now_us);
 }
 
--- a/libfilberthall/load/router_state.h
+++ b/libfilberthall/load/router_state.h
@@ -69,10 +69,10 @@
 /** What is known of one tier's wait before one pool. */
 struct pressure {
 	int64_t waiting;
-	struct list order;  /**< what waits, oldest first */
-	int64_t pressed_us; /**< when it last was pressed */
-	int64_t empty_us;   /**< when its queue last was empty */
-	int64_t short_us;   /**< when a short request last came */
+	struct list order;	  /**< what waits, oldest first */
+	int64_t last_pressure_us; /**< when it last was pressed */
+	int64_t last_empty_us;	  /**< when its queue last was empty */
+	int64_t last_short_us;	  /**< when a short request last came */
 };
 
 /** How long a class's requests hold a slot of one pool. */
@@ -108,22 +108,22 @@
 	struct pressure pressure[SCHED_TIERS];
 	struct class_time times[SCHED_CLASSES];
 	struct divide divide;
-	double unit_us; /**< mean time a unit of work holds a slot */
+	double us_per_token; /**< mean time a unit of work holds a slot */
 	double mean_cost;
 	double mean_log_cost;  /**< of the logarithm: outliers weigh little */
 	double first_token_us; /**< mean, from start of an attempt */
 	double mean_prompt;    /**< prompt tokens of a request */
-	double read_rate;      /**< prompt tokens an engine reads a second */
+	double prefill_rate;   /**< prompt tokens an engine reads a second */
 	int64_t grant;	       /**< slots handed to this VM, -1 unbounded */
 	double own_from;       /**< this VM's part of each server, 0..1 */
 	double own_until;
-	int64_t n_measured;
-	int n_preempting;    /**< cancelled for a higher tier, not ended */
-	int local_pressure;  /**< highest tier that waits here */
-	int global_pressure; /**< the same over all VMs, as last heard */
-	int64_t closed_us[SCHED_TIERS]; /**< since when no lower tier gets
+	int64_t n_samples;
+	int n_preempting;	  /**< cancelled for a higher tier, not ended */
+	int local_pressured_tier; /**< highest tier that waits here */
+	int global_pressured_tier; /**< the same over all VMs, as last heard */
+	int64_t lower_closed_us[SCHED_TIERS]; /**< since when no lower tier gets
 					   more than its minimum, 0 if open */
-	struct list running_list;	/**< attempts, oldest first */
+	struct list running_list;	      /**< attempts, oldest first */
 };
 
 enum request_state {
@@ -162,9 +162,9 @@
 	struct sched_entry entry;
 	struct heap_node timer;
 	int64_t timer_us;
-	struct list in_class;	   /**< while waiting */
-	struct list in_tier;	   /**< while waiting */
-	struct router_request ask; /**< its text is owned */
+	struct list in_class;	    /**< while waiting */
+	struct list in_tier;	    /**< while waiting */
+	struct router_request spec; /**< its text is owned */
 	enum request_state state;
 	struct router_class *class;
 	struct organisation *organisation;
@@ -173,10 +173,10 @@
 	uint64_t fingerprint;
 	int tier;
 	int64_t deadline_us;
-	int64_t target_us; /**< first token due, 0 for none */
-	bool counted;	   /**< in the limits of organisation and key */
-	int64_t charged;   /**< tokens charged to the limits */
-	int64_t estimate;  /**< output tokens */
+	int64_t target_us;	/**< first token due, 0 for none */
+	bool limits_charged;	/**< in the limits of organisation and key */
+	int64_t charged_tokens; /**< tokens charged to the limits */
+	int64_t estimate;	/**< output tokens */
 	bool is_long;
 	bool may_have_run; /**< a byte may have left */
 	bool arrived;	   /**< an attempt reached a server */
@@ -232,14 +232,14 @@
 double pool_wait_us(const struct router *router, const struct pool *pool,
 		    const struct request *request);
 double pool_own_slots(const struct router *router, const struct pool *pool);
-void pool_note_prompt(struct pool *pool, int64_t prompt_tokens);
-void pool_note_read(struct pool *pool, int64_t tokens, int64_t took_us);
-int pool_lowest_open(const struct pool *pool);
+void pool_record_prompt(struct pool *pool, int64_t prompt_tokens);
+void pool_record_prefill(struct pool *pool, int64_t tokens, int64_t took_us);
+int pool_lowest_served_tier(const struct pool *pool);
 void pool_update_pressure(struct router *router, struct pool *pool,
 			  int64_t now_us);
-void pool_measure(struct pool *pool, double cost, int64_t took_us);
-void pool_note_time(struct pool *pool, int class_id, int64_t took_us,
-		    int64_t now_us);
+void pool_record_cost(struct pool *pool, double cost, int64_t took_us);
+void pool_record_time(struct pool *pool, int class_id, int64_t took_us,
+		      int64_t now_us);
 double pool_class_us(const struct pool *pool, int class_id, int64_t now_us);
 
 /* router_submit.c */
@@ -249,7 +249,7 @@
 		     int tier, int64_t now_us);
 void request_enqueue(struct router *router, struct request *request,
 		     int64_t now_us);
-void request_take_rule(struct router *router, struct request *request);
+void request_apply_class(struct router *router, struct request *request);
 void request_dequeue(struct router *router, struct request *request);
 int64_t request_needs_us(const struct router *router,
 			 const struct request *request, int64_t now_us);
@@ -297,12 +297,13 @@
 void request_end(struct router *router, struct request *request,
 		 enum result code, const struct event_attempt_ended *ended,
 		 int64_t now_us, struct effects *effects);
-void request_forget(struct router *router, struct request *request);
-void request_arm(struct router *router, struct request *request, int64_t at_us);
+void request_free(struct router *router, struct request *request);
+void request_set_timer(struct router *router, struct request *request,
+		       int64_t at_us);
 
 /* router_time.c */
-void request_rearm(struct router *router, struct request *request,
-		   int64_t now_us);
+void request_update_timer(struct router *router, struct request *request,
+			  int64_t now_us);
 
 /* router_log.c */
 void router_span(struct router *router, const struct request *request,
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -84,7 +84,7 @@
 
 static void request_copy_text(struct request *request)
 {
-	struct router_request *ask = &request->ask;
+	struct router_request *ask = &request->spec;
 
 	ask->organisation = xstrdup(ask->organisation ? ask->organisation : "");
 	ask->key_id = xstrdup(ask->key_id);
@@ -99,28 +99,28 @@
 static void request_set_times(struct request *request)
 {
 	const struct class_rule *rule = &request->class->rule;
-	int64_t arrived_us = request->ask.arrived_us;
+	int64_t arrived_us = request->spec.arrived_us;
 
-	request->deadline_us = request->ask.deadline_us;
+	request->deadline_us = request->spec.deadline_us;
 	if (!request->deadline_us)
 		request->deadline_us =
 			arrived_us + (rule->deadline_us ? rule->deadline_us
 							: SUBMIT_DEADLINE_US);
 	/* A whole answer has no first token that its caller sees. */
 	request->target_us = 0;
-	if (request->ask.stream && rule->first_token_us)
+	if (request->spec.stream && rule->first_token_us)
 		request->target_us = arrived_us + rule->first_token_us;
 }
 
 /** Take the tier, targets and kind of server from the request's class. */
-void request_take_rule(struct router *router, struct request *request)
+void request_apply_class(struct router *router, struct request *request)
 {
 	const struct class_rule *rule = &request->class->rule;
 
 	request->tier = router->options.features.tiers ? rule->tier : 0;
 	request_set_times(request);
 	request->queue = pool_queue(router, request->queue->pool,
-				    request->ask.adapter, rule->reclaimable);
+				    request->spec.adapter, rule->reclaimable);
 }
 
 static struct request *request_new(struct router *router,
@@ -129,7 +129,7 @@
 {
 	struct request *request = xcalloc(1, sizeof(*request));
 
-	request->ask = *ask;
+	request->spec = *ask;
 	request_copy_text(request);
 	list_init(&request->attempts);
 	list_init(&request->in_class);
@@ -138,7 +138,7 @@
 	request->class = class;
 	class->n_requests++;
 	request->organisation =
-		organisation_get(router, request->ask.organisation, now_us);
+		organisation_get(router, request->spec.organisation, now_us);
 	request->organisation->n_requests++;
 	request->key = key_get(router, ask, now_us);
 	if (request->key)
@@ -147,18 +147,18 @@
 	request->prompt_tokens = ask->prompt_tokens;
 	if (router->options.features.poison)
 		request->fingerprint =
-			poison_fingerprint(request->ask.organisation,
+			poison_fingerprint(request->spec.organisation,
 					   ask->body_hash);
 	request_set_times(request);
 	map_insert(&router->requests, &request->node,
-		   map_hash(&request->ask.id, sizeof(request->ask.id)));
+		   map_hash(&request->spec.id, sizeof(request->spec.id)));
 	return request;
 }
 
 static void request_estimate(const struct router *router,
 			     struct request *request)
 {
-	const struct router_request *ask = &request->ask;
+	const struct router_request *ask = &request->spec;
 
 	if (!ask->model)
 		request->estimate = 0;
@@ -209,8 +209,8 @@
 		has_lower |= class->rule.tier > tier;
 	if (!has_lower)
 		return true;
-	return pool->closed_us[tier] &&
-	       now_us - pool->closed_us[tier] >= SUBMIT_CLOSED_US;
+	return pool->lower_closed_us[tier] &&
+	       now_us - pool->lower_closed_us[tier] >= SUBMIT_CLOSED_US;
 }
 
 /* The deadline can't be met, or in a queue that stands, the target. */
@@ -222,7 +222,7 @@
 	int64_t first_us = (int64_t)pool->first_token_us;
 
 	/* Nothing is refused on a guess. */
-	if (pool->n_measured < SUBMIT_MEASURED_LEAST)
+	if (pool->n_samples < SUBMIT_MEASURED_LEAST)
 		return false;
 
 	if (now_us + wait_us + request_needs_us(router, request, now_us) >
@@ -249,19 +249,19 @@
 	entry->due_us =
 		request->target_us ? request->target_us : request->deadline_us;
 	if (!features->fairness)
-		entry->due_us = request->ask.arrived_us;
+		entry->due_us = request->spec.arrived_us;
 	sched_push(&queue->sched, entry, request->class->id,
 		   features->fairness ? request->organisation->id : 0);
 	if (!pressure->waiting++)
-		pressure->empty_us = now_us;
+		pressure->last_empty_us = now_us;
 	list_append(&pressure->order, &request->in_tier);
 	if (!request->is_long)
-		pressure->short_us = now_us;
+		pressure->last_short_us = now_us;
 	pool->waiting_by_class[request->class->id]++;
 	request->class->waiting++;
 	router->waiting++;
 	list_append(&request->class->order, &request->in_class);
-	request_rearm(router, request, now_us);
+	request_update_timer(router, request, now_us);
 }
 
 /** Take a request out of those that wait. */
@@ -341,10 +341,11 @@
 }
 
 /* Charge the limits of the organisation and of the key. */
-static enum result request_count(struct request *request, int64_t now_us,
-				 int64_t *retry_after_ms)
+static enum result request_charge_limits(struct request *request,
+					 int64_t now_us,
+					 int64_t *retry_after_ms)
 {
-	int64_t tokens = request->ask.prompt_tokens + request->estimate;
+	int64_t tokens = request->spec.prompt_tokens + request->estimate;
 	enum result code;
 
 	code = quota_take(&request->organisation->quota, tokens, now_us,
@@ -360,8 +361,8 @@
 			return code;
 		}
 	}
-	request->charged = tokens;
-	request->counted = true;
+	request->charged_tokens = tokens;
+	request->limits_charged = true;
 	return RESULT_OK;
 }
 
@@ -401,7 +402,7 @@
 		*retry_after_ms = code == RESULT_NO_CAPACITY ? 5000 : 0;
 		return code;
 	}
-	code = request_count(request, now_us, retry_after_ms);
+	code = request_charge_limits(request, now_us, retry_after_ms);
 	if (code)
 		return code;
 	pool_update_pressure(router, pool, now_us);
@@ -461,7 +462,7 @@
 		pool_queue(router, pool, ask->adapter, class->rule.reclaimable);
 	request_estimate(router, request);
 	if (ask->prompt_tokens)
-		pool_note_prompt(pool, ask->prompt_tokens);
+		pool_record_prompt(pool, ask->prompt_tokens);
 	if (ask->stream)
 		divide_seen(&pool->divide, class->rule.pause_us, now_us);
 	request->is_long = log(request->entry.cost) >
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -27,9 +27,9 @@
 {
 	const struct attempt *attempt = request_attempt(request);
 
-	if (request->ask.deadline_us || !attempt || !attempt->first_us)
+	if (request->spec.deadline_us || !attempt || !attempt->first_us)
 		return request->deadline_us;
-	return 2 * request->deadline_us - request->ask.arrived_us;
+	return 2 * request->deadline_us - request->spec.arrived_us;
 }
 
 static int64_t request_hedge_us(const struct router *router,
@@ -39,8 +39,8 @@
 	double after = TIME_HEDGE_RATIO * request->queue->pool->first_token_us;
 
 	if (!router->options.features.hedging || !attempt ||
-	    attempt->first_us || !request->ask.idempotent ||
-	    !request->ask.model)
+	    attempt->first_us || !request->spec.idempotent ||
+	    !request->spec.model)
 		return INT64_MAX;
 	if (after < TIME_HEDGE_LEAST_US)
 		after = TIME_HEDGE_LEAST_US;
@@ -50,8 +50,8 @@
 }
 
 /** Set the request's timer to what may happen to it next. */
-void request_rearm(struct router *router, struct request *request,
-		   int64_t now_us)
+void request_update_timer(struct router *router, struct request *request,
+			  int64_t now_us)
 {
 	int64_t at_us = request_end_us(request);
 	int64_t other_us = INT64_MAX;
@@ -64,7 +64,7 @@
 		other_us = now_us + TIME_LOOK_US;
 	if (other_us < at_us)
 		at_us = other_us;
-	request_arm(router, request, at_us);
+	request_set_timer(router, request, at_us);
 }
 
 /* Another server has room for it beside those that wait. */
@@ -104,7 +104,7 @@
 		.code = RESULT_BACKEND_TIMEOUT,
 		.sent = true,
 		.arrived = true,
-		.idempotent = request->ask.idempotent,
+		.idempotent = request->spec.idempotent,
 		.attempts = request->n_attempts,
 		.tier = request->tier,
 		.deadline_us = request->deadline_us,
@@ -123,8 +123,9 @@
 	attempt_cancel(attempt, RESULT_BACKEND_TIMEOUT, effects);
 }
 
-static void request_waits(struct router *router, struct request *request,
-			  int64_t now_us, struct effects *effects)
+static void request_check_waiting(struct router *router,
+				  struct request *request, int64_t now_us,
+				  struct effects *effects)
 {
 	const struct pool *pool = request->queue->pool;
 	bool late = request->target_us && now_us >= request->target_us &&
@@ -141,7 +142,7 @@
 			       request_retry_after_ms(router, request), now_us,
 			       effects);
 	else
-		request_rearm(router, request, now_us);
+		request_update_timer(router, request, now_us);
 }
 
 static void request_timer(struct router *router, struct request *request,
@@ -149,7 +150,7 @@
 {
 	heap_remove(&router->timers, &request->timer);
 	if (request->state == REQUEST_WAITING) {
-		request_waits(router, request, now_us, effects);
+		request_check_waiting(router, request, now_us, effects);
 		return;
 	}
 	if (request->state != REQUEST_RUNNING)
@@ -161,7 +162,7 @@
 	}
 	if (now_us >= request_hedge_us(router, request))
 		request_hedge(router, request, now_us, effects);
-	request_rearm(router, request, now_us);
+	request_update_timer(router, request, now_us);
 }
 
 static void router_run_timers(struct router *router, int64_t now_us,
