--- a/libfilberthall/core/answer.c
+++ b/libfilberthall/core/answer.c
@@ -8,7 +8,7 @@
 #include "core/span.h"
 
 /* Name of the span that all others of a request are below. */
-#define ANSWER_EDGE "edge"
+#define ANSWER_ROOT_SPAN "edge"
 
 void answer_refuse(struct core *core, const struct caller_request *request,
 		   enum result code, enum run_state run, int64_t retry_after_ms,
@@ -25,8 +25,8 @@
 	answer_span(core, request, "edge", request->arrived_us, code, NULL);
 }
 
-void answer_kept(struct core *core, const struct caller_request *request,
-		 const struct claim *claim)
+void answer_from_claim(struct core *core, const struct caller_request *request,
+		       const struct claim *claim)
 {
 	struct effect_answer *answer =
 		&effects_add(core->effects, EFFECT_ANSWER)->u.answer;
@@ -45,10 +45,10 @@
 		 const char *detail)
 {
 	const struct event_request *asked = &request->event->u.request;
-	struct span_note note = { asked->id,	asked->trace, name,  start_us,
+	struct span_info note = { asked->id,	asked->trace, name,  start_us,
 				  core->now_us, code,	      detail };
 
-	if (strcmp(name, ANSWER_EDGE))
+	if (strcmp(name, ANSWER_ROOT_SPAN))
 		span_child(core->effects, &core->rng, &note);
 	else
 		span_root(core->effects, &note);
--- a/libfilberthall/core/autoscaler.c
+++ b/libfilberthall/core/autoscaler.c
@@ -185,7 +185,7 @@
 	json_int_t in_ms = json_integer_value(json_object_get(root, "in_ms"));
 
 	if (zone && in_ms >= 0)
-		gossip_notice(core, zone, in_ms * 1000);
+		gossip_reclaim_notice(core, zone, in_ms * 1000);
 	json_decref(root);
 }
 
--- a/libfilberthall/core/billing.c
+++ b/libfilberthall/core/billing.c
@@ -7,10 +7,10 @@
 #include "core/core_state.h"
 
 #define BILLING_MESSAGE_BYTES 16384
-#define BILLING_GIVE_UP_US INT64_C(30000000)
+#define BILLING_PROPOSAL_TIMEOUT_US INT64_C(30000000)
 
-static struct report_situation billing_situation(struct core *core,
-						 uint64_t *ids)
+static struct report_situation billing_report_situation(struct core *core,
+							uint64_t *ids)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	const struct members *members = raft_members(core->raft);
@@ -33,7 +33,7 @@
 	return situation;
 }
 
-static void billing_send(struct core *core)
+static void billing_send_counters(struct core *core)
 {
 	struct peer *peer;
 	struct peer *next;
@@ -50,8 +50,8 @@
 }
 
 /* Propose the next window's figures, one window at a time. */
-static void billing_close(struct core *core,
-			  const struct report_situation *situation)
+static void billing_propose_window(struct core *core,
+				   const struct report_situation *situation)
 {
 	struct entry_head head;
 	struct bytes entry = { 0 };
@@ -69,7 +69,7 @@
 	entry_window(&entry, &head, window, rows);
 	json_decref(rows);
 	propose_entry(core, head.ticket, &entry,
-		      core->now_us + BILLING_GIVE_UP_US);
+		      core->now_us + BILLING_PROPOSAL_TIMEOUT_US);
 }
 
 void billing_tick(struct core *core)
@@ -78,11 +78,11 @@
 	struct report_situation situation;
 	uint64_t ids[MEMBER_MAX];
 
-	situation = billing_situation(core, ids);
+	situation = billing_report_situation(core, ids);
 	if (core->wall_us)
 		usage_tick(core->usage, situation.window_us, core->wall_us,
 			   core->now_us);
-	billing_send(core);
+	billing_send_counters(core);
 	if (!raft_is_leader(core->raft) ||
 	    !raft_may_read(core->raft, core->now_us)) {
 		report_reset(core->report);
@@ -90,7 +90,7 @@
 	}
 	if (!core->options.platform)
 		return;
-	billing_close(core, &situation);
+	billing_propose_window(core, &situation);
 	if (lease_may_order(lease, REPORT_TIMEOUT_MS * 1000, core->now_us))
 		report_tick(core->report, agreed_windows(core->agreed),
 			    lease->term, lease_order_deadline(lease),
@@ -131,5 +131,5 @@
 	head = consensus_head(core);
 	entry_window_settled(&entry, &head, window, accepted);
 	propose_entry(core, head.ticket, &entry,
-		      core->now_us + BILLING_GIVE_UP_US);
+		      core->now_us + BILLING_PROPOSAL_TIMEOUT_US);
 }
--- a/libfilberthall/core/consensus.c
+++ b/libfilberthall/core/consensus.c
@@ -10,7 +10,7 @@
 #include "core/core_state.h"
 
 /* A leader that came up first waits for nobody before it seeds a site. */
-#define CONSENSUS_SEED_GIVE_UP_US INT64_C(60000000)
+#define CONSENSUS_SEED_TIMEOUT_US INT64_C(60000000)
 
 /*
  * A daemon silent for this long is taken for dead, and what it claimed for
@@ -18,9 +18,9 @@
  * than callers' patience with a resend. One that lives after all only gets
  * its claims refused once and takes a new owner number.
  */
-#define CONSENSUS_OWNER_GONE_US INT64_C(10000000)
+#define CONSENSUS_OWNER_TIMEOUT_US INT64_C(10000000)
 
-#define CONSENSUS_SECOND_US INT64_C(1000000)
+#define CONSENSUS_EXPIRE_PROPOSAL_TIMEOUT_US INT64_C(1000000)
 
 struct entry_head consensus_head(struct core *core)
 {
@@ -43,7 +43,8 @@
 	       stale_ms * 1000;
 }
 
-static void consensus_act(struct core *core, const struct change *change)
+static void consensus_apply_change(struct core *core,
+				   const struct change *change)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	const struct organisation_rule *organisation;
@@ -92,8 +93,8 @@
 		applied->incarnation == core->claim_owner);
 }
 
-static void consensus_settle(struct core *core,
-			     const struct apply_result *applied)
+static void consensus_settle_own(struct core *core,
+				 const struct apply_result *applied)
 {
 	struct proposal *proposal;
 	size_t i;
@@ -133,9 +134,9 @@
 			 "entry %lld can't be read; it changes nothing",
 			 (long long)committed->index);
 	list_foreach(change, &applied.changes, node)
-		consensus_act(core, change);
+		consensus_apply_change(core, change);
 	if (consensus_is_own(core, &applied))
-		consensus_settle(core, &applied);
+		consensus_settle_own(core, &applied);
 	apply_result_clear(&applied);
 }
 
@@ -192,10 +193,11 @@
 	free(names->names);
 }
 
-static void consensus_drop_gone(struct core *core,
-				const struct consensus_names *classes,
-				const struct consensus_names *organisations,
-				const struct consensus_names *keys)
+static void
+consensus_remove_missing(struct core *core,
+			 const struct consensus_names *classes,
+			 const struct consensus_names *organisations,
+			 const struct consensus_names *keys)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	size_t i;
@@ -219,8 +221,8 @@
  * entries it missed. What they removed must be acted upon as well: a key
  * withdrawn meanwhile would otherwise go on streaming.
  */
-static void consensus_take_snapshot(struct core *core,
-				    const struct raft_committed *committed)
+static void consensus_install_snapshot(struct core *core,
+				       const struct raft_committed *committed)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	struct consensus_names classes = { 0 };
@@ -240,7 +242,7 @@
 		rules_visit_classes(settings, consensus_set_class, core);
 		rules_visit_organisations(settings, consensus_set_organisation,
 					  core);
-		consensus_drop_gone(core, &classes, &organisations, &keys);
+		consensus_remove_missing(core, &classes, &organisations, &keys);
 	}
 	request_claim_changed(core, NULL);
 	consensus_names_clear(&classes);
@@ -248,7 +250,7 @@
 	consensus_names_clear(&keys);
 }
 
-void consensus_drain(struct core *core)
+void consensus_apply_committed(struct core *core)
 {
 	struct raft_committed committed;
 
@@ -256,7 +258,7 @@
 		if (committed.kind == RAFT_COMMITTED_COMMAND)
 			consensus_apply(core, &committed);
 		else if (committed.kind == RAFT_COMMITTED_SNAPSHOT)
-			consensus_take_snapshot(core, &committed);
+			consensus_install_snapshot(core, &committed);
 	}
 	if (raft_need_snapshot(core->raft)) {
 		struct bytes state = { 0 };
@@ -291,17 +293,18 @@
 		   options->seed_key_hash);
 	json_decref(values);
 	propose_entry(core, head.ticket, &entry,
-		      core->now_us + CONSENSUS_SEED_GIVE_UP_US);
+		      core->now_us + CONSENSUS_SEED_TIMEOUT_US);
 }
 
-static bool consensus_is_silent(const struct core *core,
-				const struct member *member)
+static bool consensus_is_unreachable(const struct core *core,
+				     const struct member *member)
 {
 	struct member_health health;
 
 	return member->id != core->options.self &&
 	       raft_health(core->raft, member->id, &health) &&
-	       core->now_us - health.last_contact_us >= CONSENSUS_OWNER_GONE_US;
+	       core->now_us - health.last_contact_us >=
+		       CONSENSUS_OWNER_TIMEOUT_US;
 }
 
 /*
@@ -309,7 +312,7 @@
  * claims end as unknown, and callers' resends get that answer in place of
  * "running" for ever.
  */
-static void consensus_bury(struct core *core)
+static void consensus_expire_claim_owners(struct core *core)
 {
 	const struct members *members = raft_members(core->raft);
 	size_t i;
@@ -319,7 +322,7 @@
 		struct entry_head head;
 		struct bytes entry = { 0 };
 
-		if (!consensus_is_silent(core, &members->items[i]))
+		if (!consensus_is_unreachable(core, &members->items[i]))
 			continue;
 		owner.incarnation =
 			claims_latest_owner(agreed_claims(core->agreed),
@@ -332,7 +335,8 @@
 		head = consensus_head(core);
 		entry_owner_gone(&entry, &head, &owner);
 		propose_entry(core, head.ticket, &entry,
-			      core->now_us + CONSENSUS_SECOND_US);
+			      core->now_us +
+				      CONSENSUS_EXPIRE_PROPOSAL_TIMEOUT_US);
 	}
 }
 
@@ -376,9 +380,9 @@
 	propose_retry(core);
 }
 
-void consensus_second(struct core *core)
+void consensus_slow_tick(struct core *core)
 {
 	consensus_set_policy(core);
 	if (raft_is_leader(core->raft))
-		consensus_bury(core);
+		consensus_expire_claim_owners(core);
 }
--- a/libfilberthall/core/core.c
+++ b/libfilberthall/core/core.c
@@ -14,7 +14,7 @@
 #include "core/core_state.h"
 
 /* Slow duties: metrics, graves, what is said once a second. */
-#define CORE_SECOND_US 1000000
+#define CORE_SLOW_TICK_US 1000000
 
 /* Half of Raft's heartbeat between voters. */
 #define CORE_TICK_US 50000
@@ -34,7 +34,7 @@
 	log->message = xstrdup(text);
 }
 
-static void core_set_text(char *slot, size_t size, const char *text)
+static void core_copy_text(char *slot, size_t size, const char *text)
 {
 	snprintf(slot, size, "%s", text ? text : "");
 }
@@ -43,10 +43,10 @@
 {
 	memset(member, 0, sizeof(*member));
 	member->id = core->options.self;
-	core_set_text(member->vm, sizeof(member->vm), core->options.vm);
-	core_set_text(member->zone, sizeof(member->zone), core->options.zone);
-	core_set_text(member->address, sizeof(member->address),
-		      core->options.address);
+	core_copy_text(member->vm, sizeof(member->vm), core->options.vm);
+	core_copy_text(member->zone, sizeof(member->zone), core->options.zone);
+	core_copy_text(member->address, sizeof(member->address),
+		       core->options.address);
 	member->incarnation = core->options.incarnation;
 	member->disk = core->options.disk;
 }
@@ -94,7 +94,7 @@
 
 	core_copy_options(core, options);
 	core->rng.state = options->seed;
-	core->claim_owner = CORE_OWNER_FIRST(options->incarnation);
+	core->claim_owner = CORE_FIRST_CLAIM_OWNER(options->incarnation);
 	core->now_us = now_us;
 	core->effects = effects;
 	core->links_members_index = -1;
@@ -118,7 +118,7 @@
 		core_free(core);
 		return code;
 	}
-	consensus_drain(core);
+	consensus_apply_committed(core);
 	consensus_start(core);
 	*out = core;
 	return RESULT_OK;
@@ -160,8 +160,8 @@
 	free(core);
 }
 
-static void core_take_link(struct core *core,
-			   const struct event_link_message *message)
+static void core_handle_link_message(struct core *core,
+				     const struct event_link_message *message)
 {
 	switch (message->channel) {
 	case LINK_RAFT:
@@ -223,7 +223,7 @@
 static void core_update_health(struct core *core)
 {
 	bool healthy = !core->stop_deadline_us && consensus_is_fresh(core);
-	bool second = core->now_us - core->slow_tick_us >= CORE_SECOND_US;
+	bool second = core->now_us - core->slow_tick_us >= CORE_SLOW_TICK_US;
 
 	if (healthy != core->healthy)
 		core_log(core, healthy ? LOG_INFO : LOG_WARN, "core",
@@ -237,7 +237,7 @@
 	if (!second)
 		return;
 	core->slow_tick_us = core->now_us;
-	consensus_second(core);
+	consensus_slow_tick(core);
 }
 
 static void core_tick(struct core *core, const struct event_tick *tick)
@@ -248,14 +248,14 @@
 	gossip_digest(core);
 	router_tick(core->router, core->now_us, core->effects);
 	request_expire(core);
-	in_force_tick(core);
+	pending_call_tick(core);
 	billing_tick(core);
 	autoscaler_tick(core);
 	core_update_health(core);
 	core_try_exit(core);
 }
 
-static void core_take(struct core *core, struct event *event)
+static void core_handle_event(struct core *core, struct event *event)
 {
 	switch (event->kind) {
 	case EVENT_TICK:
@@ -292,7 +292,7 @@
 		peers_down(core, event->u.link_down.peer);
 		break;
 	case EVENT_LINK_MESSAGE:
-		core_take_link(core, &event->u.link_message);
+		core_handle_link_message(core, &event->u.link_message);
 		break;
 	case EVENT_DISK_SYNCED:
 		raft_synced(core->raft, event->u.synced.ticket, core->now_us,
@@ -325,10 +325,10 @@
 	core->now_us = now_us;
 	core->effects = effects;
 	event->at_us = now_us;
-	core_take(core, event);
-	consensus_drain(core);
-	peers_follow_members(core);
-	peers_tell_router(core);
+	core_handle_event(core, event);
+	consensus_apply_committed(core);
+	peers_update_links(core);
+	peers_update_router(core);
 }
 
 int64_t core_next_tick(const struct core *core, int64_t now_us)
--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -29,7 +29,7 @@
  * counter behind it, so that one that was taken for dead and lives gets a new
  * number without a restart.
  */
-#define CORE_OWNER_FIRST(incarnation) ((uint64_t)(incarnation) << 16)
+#define CORE_FIRST_CLAIM_OWNER(incarnation) ((uint64_t)(incarnation) << 16)
 
 /** A class without a deadline must still end somewhere. */
 #define REQUEST_DEADLINE_US INT64_C(600000000)
@@ -44,8 +44,8 @@
 struct caller_request {
 	struct map_node node; /**< core.requests, by id */
 	struct list
-		claim_waiters_node; /**< core.pending, while its claim isn't its own */
-	struct event *event;	    /**< EVENT_REQUEST, owned */
+		claim_waiters_node; /**< core.claim_waiters, while its claim isn't its own */
+	struct event *event; /**< EVENT_REQUEST, owned */
 	enum request_state state;
 	char *key_id;
 	char *organisation;
@@ -74,7 +74,7 @@
 	struct bytes entry;
 	uint64_t admin_id; /**< operator's call that waits for it, or 0 */
 	int64_t sent_us;
-	int64_t give_up_us;
+	int64_t expires_us;
 	int64_t index; /**< as leader: where it was appended, else 0 */
 	int64_t term;
 };
@@ -88,7 +88,7 @@
 	uint64_t leader;    /**< whom it was sent to */
 	int64_t wait_index; /**< settings-wait: to be applied on all */
 	int64_t started_us;
-	int64_t give_up_us;
+	int64_t expires_us;
 };
 
 struct core {
@@ -158,17 +158,17 @@
 void answer_refuse(struct core *core, const struct caller_request *request,
 		   enum result code, enum run_state run, int64_t retry_after_ms,
 		   const char *message);
-void answer_kept(struct core *core, const struct caller_request *request,
-		 const struct claim *claim);
+void answer_from_claim(struct core *core, const struct caller_request *request,
+		       const struct claim *claim);
 void answer_span(struct core *core, const struct caller_request *request,
 		 const char *name, int64_t start_us, enum result code,
 		 const char *detail);
 
 /* consensus.c: the log and what comes out of it */
 void consensus_start(struct core *core);
-void consensus_drain(struct core *core);
+void consensus_apply_committed(struct core *core);
 void consensus_tick(struct core *core);
-void consensus_second(struct core *core);
+void consensus_slow_tick(struct core *core);
 bool consensus_is_fresh(const struct core *core);
 struct entry_head consensus_head(struct core *core);
 
@@ -199,12 +199,13 @@
 		       const struct bytes *body);
 void operator_applied(struct core *core, struct proposal *proposal,
 		      const struct apply_result *applied);
-void operator_lost(struct core *core, struct proposal *proposal);
+void operator_timed_out(struct core *core, struct proposal *proposal);
 
 /* pending_call.c: calls that wait until a change is in force everywhere */
-void in_force_wait(struct core *core, struct pending_call *waiting,
-		   const struct bytes *args);
-void in_force_tick(struct core *core);
+void pending_call_wait_for_index(struct core *core,
+				 struct pending_call *waiting,
+				 const struct bytes *args);
+void pending_call_tick(struct core *core);
 void operator_answer(struct core *core, uint64_t peer, uint64_t id,
 		     enum result code, json_t *body);
 
@@ -220,18 +221,18 @@
 void gossip_cache(struct core *core, const struct event_cache *cache);
 void gossip_demand(struct core *core, uint64_t leader,
 		   const struct bytes *demand);
-void gossip_notice(struct core *core, const char *zone, int64_t in_us);
+void gossip_reclaim_notice(struct core *core, const char *zone, int64_t in_us);
 void gossip_drain(struct core *core, const char *address, bool drained);
 void gossip_message(struct core *core, uint64_t peer, const struct bytes *body);
-void gossip_welcome(struct core *core, uint64_t peer);
+void gossip_send_all_backends(struct core *core, uint64_t peer);
 void gossip_digest(struct core *core);
 void gossip_expire(struct core *core);
 
 /* peers.c: the other daemons */
 void peers_up(struct core *core, const struct event_link_up *up);
 void peers_down(struct core *core, uint64_t id);
-void peers_follow_members(struct core *core);
-void peers_tell_router(struct core *core);
+void peers_update_links(struct core *core);
+void peers_update_router(struct core *core);
 void peers_send(struct core *core, uint64_t peer, enum link_channel channel,
 		struct bytes *body);
 void peers_send_all(struct core *core, enum link_channel channel,
--- a/libfilberthall/core/demand.c
+++ b/libfilberthall/core/demand.c
@@ -7,10 +7,10 @@
 #include "core/pack.h"
 
 /* What one daemon said of one pool. */
-struct demand_row {
+struct demand_report {
 	struct list node;
 	uint64_t member;
-	int64_t said_us;
+	int64_t received_us;
 	struct demand_sum sum;
 };
 
@@ -23,7 +23,7 @@
 };
 
 struct demand {
-	struct list rows;
+	struct list reports;
 	struct list teams;
 };
 
@@ -31,7 +31,7 @@
 {
 	struct demand *demand = xcalloc(1, sizeof(*demand));
 
-	list_init(&demand->rows);
+	list_init(&demand->reports);
 	list_init(&demand->teams);
 	return demand;
 }
@@ -40,19 +40,20 @@
 {
 	struct demand_team *team;
 	struct demand_team *next_team;
-	struct demand_row *row;
-	struct demand_row *next;
+	struct demand_report *row;
+	struct demand_report *next;
 
 	if (!demand)
 		return;
-	list_foreach_safe(row, next, &demand->rows, node)
+	list_foreach_safe(row, next, &demand->reports, node)
 		free(row);
 	list_foreach_safe(team, next_team, &demand->teams, node)
 		free(team);
 	free(demand);
 }
 
-void demand_count(struct demand *demand, const char *team, bool attained)
+void demand_count_request(struct demand *demand, const char *team,
+			  bool attained)
 {
 	struct demand_team *found;
 
@@ -148,12 +149,12 @@
 	return good;
 }
 
-static void demand_drop_member(struct demand *demand, uint64_t member)
+static void demand_remove_member(struct demand *demand, uint64_t member)
 {
-	struct demand_row *row;
-	struct demand_row *next;
+	struct demand_report *row;
+	struct demand_report *next;
 
-	list_foreach_safe(row, next, &demand->rows, node) {
+	list_foreach_safe(row, next, &demand->reports, node) {
 		if (row->member != member)
 			continue;
 		list_remove(&row->node);
@@ -173,15 +174,15 @@
 					2 + (size_t)i * DEMAND_POOL_ITEMS,
 					&sum))
 			return false;
-	demand_drop_member(demand, member);
+	demand_remove_member(demand, member);
 	for (i = 0; i < pools; i++) {
-		struct demand_row *row = xcalloc(1, sizeof(*row));
+		struct demand_report *row = xcalloc(1, sizeof(*row));
 
 		row->member = member;
-		row->said_us = now_us;
+		row->received_us = now_us;
 		demand_unpack_pool(message, 2 + (size_t)i * DEMAND_POOL_ITEMS,
 				   &row->sum);
-		list_append(&demand->rows, &row->node);
+		list_append(&demand->reports, &row->node);
 	}
 	return true;
 }
@@ -236,11 +237,11 @@
 
 static void demand_expire(struct demand *demand, int64_t now_us)
 {
-	struct demand_row *row;
-	struct demand_row *next;
+	struct demand_report *row;
+	struct demand_report *next;
 
-	list_foreach_safe(row, next, &demand->rows, node) {
-		if (now_us - row->said_us <= DEMAND_KEEP_US)
+	list_foreach_safe(row, next, &demand->reports, node) {
+		if (now_us - row->received_us <= DEMAND_TTL_US)
 			continue;
 		list_remove(&row->node);
 		free(row);
@@ -289,12 +290,12 @@
 {
 	struct demand_total *total;
 	struct demand_total *next;
-	struct demand_row *row;
+	struct demand_report *row;
 	struct map totals;
 
 	demand_expire(demand, now_us);
 	map_init(&totals);
-	list_foreach(row, &demand->rows, node)
+	list_foreach(row, &demand->reports, node)
 		demand_add(&totals, &row->sum);
 	map_foreach(total, next, &totals, node) {
 		visit(data, &total->sum);
--- a/libfilberthall/core/demand.h
+++ b/libfilberthall/core/demand.h
@@ -17,9 +17,9 @@
  * two seconds.
  *
  * Failure answered: a daemon dies and its last demand would be planned for
- * for ever; what a daemon said counts for DEMAND_KEEP_US only.
+ * for ever; what a daemon said counts for DEMAND_TTL_US only.
  */
-#define DEMAND_KEEP_US INT64_C(6000000)
+#define DEMAND_TTL_US INT64_C(6000000)
 
 struct demand;
 
@@ -35,7 +35,8 @@
 void demand_free(struct demand *demand);
 
 /** Count a request of a team that ended on this daemon. */
-void demand_count(struct demand *demand, const char *team, bool attained);
+void demand_count_request(struct demand *demand, const char *team,
+			  bool attained);
 
 /**
  * This daemon's pools and its teams' counts since the last call, as a
--- a/libfilberthall/core/forward.c
+++ b/libfilberthall/core/forward.c
@@ -11,7 +11,7 @@
 
 enum forward_kind { FORWARD_ENTRY = 1, FORWARD_ADMIN = 2, FORWARD_ANSWER = 3 };
 
-#define FORWARD_TEXT_MOST 256
+#define FORWARD_TEXT_MAX 256
 
 void forward_entry(struct core *core, uint64_t peer, const struct bytes *entry)
 {
@@ -57,8 +57,8 @@
 	peers_send(core, peer, LINK_FORWARD, &body);
 }
 
-static void forward_take_admin(struct core *core, uint64_t peer,
-			       const struct unpacked *message)
+static void forward_handle_admin(struct core *core, uint64_t peer,
+				 const struct unpacked *message)
 {
 	cleanup(free_ptr) char *key_id = NULL;
 	cleanup(free_ptr) char *command = NULL;
@@ -67,8 +67,8 @@
 	uint64_t ticket;
 	size_t len;
 
-	key_id = unpack_text(message, 2, FORWARD_TEXT_MOST);
-	command = unpack_text(message, 3, FORWARD_TEXT_MOST);
+	key_id = unpack_text(message, 2, FORWARD_TEXT_MAX);
+	command = unpack_text(message, 3, FORWARD_TEXT_MAX);
 	if (!key_id || !command || !unpack_uint(message, 1, &ticket) ||
 	    !unpack_bytes(message, 4, &data, &len))
 		return;
@@ -77,8 +77,8 @@
 	bytes_clear(&args);
 }
 
-static void forward_take_answer(struct core *core,
-				const struct unpacked *message)
+static void forward_handle_answer(struct core *core,
+				  const struct unpacked *message)
 {
 	struct bytes answer = { 0 };
 	const char *data;
@@ -112,10 +112,10 @@
 			propose_forwarded(core, data, len);
 		break;
 	case FORWARD_ADMIN:
-		forward_take_admin(core, peer, &message);
+		forward_handle_admin(core, peer, &message);
 		break;
 	case FORWARD_ANSWER:
-		forward_take_answer(core, &message);
+		forward_handle_answer(core, &message);
 		break;
 	default:
 		core_log(core, LOG_WARN, "forward", "unknown message %lld",
--- a/libfilberthall/core/gossip.c
+++ b/libfilberthall/core/gossip.c
@@ -20,24 +20,24 @@
 	GOSSIP_CACHE = 2,
 	GOSSIP_DRAIN = 3,
 	GOSSIP_DEMAND = 4,
-	GOSSIP_NOTICE = 5,
+	GOSSIP_RECLAIM_NOTICE = 5,
 	GOSSIP_DIGEST = 6,
-	GOSSIP_ASK = 7
+	GOSSIP_REQUEST = 7
 };
 
-#define GOSSIP_TEXT_MOST 128
+#define GOSSIP_TEXT_MAX 128
 
 /*
  * Load reports come about once a second and are old by then; half a second
  * more costs no attainment that policy-bench can show (report lag 0 to 2 s).
  * With many daemons the limit of 5 KB/s decides (docs/CAPACITY.md).
  */
-#define GOSSIP_DIGEST_US 500000
-#define GOSSIP_DIGEST_MANY_US 2000000
-#define GOSSIP_FEW 32
+#define GOSSIP_DIGEST_INTERVAL_US 500000
+#define GOSSIP_DIGEST_INTERVAL_LARGE_SITE_US 2000000
+#define GOSSIP_SMALL_SITE_MAX 32
 
 /* Unknown servers asked for at once; the rest with the next digest. */
-#define GOSSIP_ASK_MOST 256
+#define GOSSIP_REQUEST_MAX 256
 
 static void gossip_pack_announce(struct core *core,
 				 const struct backend *backend,
@@ -54,8 +54,8 @@
 	bytes_clear(&packed);
 }
 
-static bool gossip_take(struct core *core,
-			const struct event_announce *announce)
+static bool gossip_apply_announce(struct core *core,
+				  const struct event_announce *announce)
 {
 	enum announce_outcome outcome;
 
@@ -78,7 +78,8 @@
 	return true;
 }
 
-static uint64_t gossip_identity(const struct core *core, const char *address)
+static uint64_t gossip_identity_digest(const struct core *core,
+				       const char *address)
 {
 	const struct backend *backend = fleet_find(&core->fleet, address);
 
@@ -88,13 +89,14 @@
 /* Names go out at once if they changed, figures with the next digest. */
 void gossip_announce(struct core *core, const struct event_announce *announce)
 {
-	uint64_t before = announce->address
-				  ? gossip_identity(core, announce->address)
-				  : 0;
+	uint64_t before =
+		announce->address
+			? gossip_identity_digest(core, announce->address)
+			: 0;
 	struct backend *backend;
 	struct bytes body = { 0 };
 
-	if (!gossip_take(core, announce))
+	if (!gossip_apply_announce(core, announce))
 		return;
 	backend = fleet_find(&core->fleet, announce->address);
 	if (!backend)
@@ -110,9 +112,10 @@
 /* Pass on what was heard since the last digest. */
 void gossip_digest(struct core *core)
 {
-	int64_t every_us = raft_members(core->raft)->count > GOSSIP_FEW
-				   ? GOSSIP_DIGEST_MANY_US
-				   : GOSSIP_DIGEST_US;
+	int64_t every_us =
+		raft_members(core->raft)->count > GOSSIP_SMALL_SITE_MAX
+			? GOSSIP_DIGEST_INTERVAL_LARGE_SITE_US
+			: GOSSIP_DIGEST_INTERVAL_US;
 	struct bytes rows = { 0 };
 	struct bytes body = { 0 };
 	msgpack_packer packer;
@@ -133,20 +136,20 @@
 
 /* Servers of a digest that this daemon doesn't know. */
 struct gossip_unknown {
-	uint64_t hashes[GOSSIP_ASK_MOST];
+	uint64_t hashes[GOSSIP_REQUEST_MAX];
 	size_t n;
 };
 
-static void gossip_note_unknown(void *data, uint64_t address_hash)
+static void gossip_record_unknown(void *data, uint64_t address_hash)
 {
 	struct gossip_unknown *unknown = data;
 
-	if (unknown->n < GOSSIP_ASK_MOST)
+	if (unknown->n < GOSSIP_REQUEST_MAX)
 		unknown->hashes[unknown->n++] = address_hash;
 }
 
-static void gossip_ask(struct core *core, uint64_t peer,
-		       const struct gossip_unknown *unknown)
+static void gossip_request_unknown(struct core *core, uint64_t peer,
+				   const struct gossip_unknown *unknown)
 {
 	struct bytes body = { 0 };
 	msgpack_packer packer;
@@ -156,18 +159,18 @@
 		return;
 	pack_init(&packer, &body);
 	msgpack_pack_array(&packer, 1 + unknown->n);
-	msgpack_pack_int(&packer, GOSSIP_ASK);
+	msgpack_pack_int(&packer, GOSSIP_REQUEST);
 	for (i = 0; i < unknown->n; i++)
 		msgpack_pack_uint64(&packer, unknown->hashes[i]);
 	peers_send(core, peer, LINK_FLEET, &body);
 }
 
-static void gossip_take_ask(struct core *core, uint64_t peer,
-			    const struct unpacked *message)
+static void gossip_handle_request(struct core *core, uint64_t peer,
+				  const struct unpacked *message)
 {
 	size_t i;
 
-	for (i = 1; i < message->n && i <= GOSSIP_ASK_MOST; i++) {
+	for (i = 1; i < message->n && i <= GOSSIP_REQUEST_MAX; i++) {
 		const struct backend *backend;
 		struct bytes body = { 0 };
 		uint64_t hash;
@@ -182,8 +185,8 @@
 	}
 }
 
-static void gossip_take_digest(struct core *core, uint64_t peer,
-			       const struct unpacked *message)
+static void gossip_handle_digest(struct core *core, uint64_t peer,
+				 const struct unpacked *message)
 {
 	struct gossip_unknown unknown = { .n = 0 };
 	const char *data;
@@ -191,11 +194,11 @@
 
 	if (!unpack_bytes(message, 1, &data, &len) ||
 	    digest_read(&core->fleet, data, len, core->now_us,
-			gossip_note_unknown, &unknown))
+			gossip_record_unknown, &unknown))
 		core_log(core, LOG_WARN, "fleet",
 			 "a digest of member %llx can't be read",
 			 (unsigned long long)peer);
-	gossip_ask(core, peer, &unknown);
+	gossip_request_unknown(core, peer, &unknown);
 	core->fleet_updated = true;
 }
 
@@ -247,7 +250,7 @@
 }
 
 /* The platform tells one daemon of a reclaim; all must know at once. */
-void gossip_notice(struct core *core, const char *zone, int64_t in_us)
+void gossip_reclaim_notice(struct core *core, const char *zone, int64_t in_us)
 {
 	struct bytes body = { 0 };
 	msgpack_packer packer;
@@ -255,15 +258,15 @@
 	autoscaler_reclaim_notice(core, zone, in_us);
 	pack_init(&packer, &body);
 	msgpack_pack_array(&packer, 3);
-	msgpack_pack_int(&packer, GOSSIP_NOTICE);
+	msgpack_pack_int(&packer, GOSSIP_RECLAIM_NOTICE);
 	pack_text(&packer, zone);
 	msgpack_pack_int64(&packer, in_us);
 	peers_send_all(core, LINK_FLEET, &body);
 	bytes_clear(&body);
 }
 
-static void gossip_take_demand(struct core *core, uint64_t peer,
-			       const struct unpacked *message)
+static void gossip_handle_demand(struct core *core, uint64_t peer,
+				 const struct unpacked *message)
 {
 	const char *data;
 	size_t len;
@@ -272,19 +275,18 @@
 		autoscaler_receive_demand(core, peer, data, len);
 }
 
-static void gossip_take_notice(struct core *core,
-			       const struct unpacked *message)
+static void gossip_handle_reclaim_notice(struct core *core,
+					 const struct unpacked *message)
 {
-	cleanup(free_ptr) char *zone =
-		unpack_text(message, 1, GOSSIP_TEXT_MOST);
+	cleanup(free_ptr) char *zone = unpack_text(message, 1, GOSSIP_TEXT_MAX);
 	int64_t in_us;
 
 	if (zone && unpack_int(message, 2, &in_us))
 		autoscaler_reclaim_notice(core, zone, in_us);
 }
 
-static void gossip_take_announce(struct core *core,
-				 const struct unpacked *message)
+static void gossip_handle_announce(struct core *core,
+				   const struct unpacked *message)
 {
 	struct event_announce announce = { 0 };
 	const char *data;
@@ -293,17 +295,18 @@
 	if (!unpack_bytes(message, 1, &data, &len) ||
 	    backend_unpack(&announce, data, len))
 		return;
-	gossip_take(core, &announce);
+	gossip_apply_announce(core, &announce);
 	event_announce_clear(&announce);
 }
 
-static void gossip_take_cache(struct core *core, const struct unpacked *message)
+static void gossip_handle_cache(struct core *core,
+				const struct unpacked *message)
 {
 	struct event_cache cache = { 0 };
 	int64_t held = 0;
 
-	cache.address = unpack_text(message, 1, GOSSIP_TEXT_MOST);
-	cache.boot_id = unpack_text(message, 2, GOSSIP_TEXT_MOST);
+	cache.address = unpack_text(message, 1, GOSSIP_TEXT_MAX);
+	cache.boot_id = unpack_text(message, 2, GOSSIP_TEXT_MAX);
 	if (cache.address && cache.boot_id &&
 	    unpack_uint(message, 3, &cache.prefix_hash) &&
 	    unpack_int(message, 4, &held)) {
@@ -314,10 +317,11 @@
 	free(cache.boot_id);
 }
 
-static void gossip_take_drain(struct core *core, const struct unpacked *message)
+static void gossip_handle_drain(struct core *core,
+				const struct unpacked *message)
 {
 	cleanup(free_ptr) char *address =
-		unpack_text(message, 1, GOSSIP_TEXT_MOST);
+		unpack_text(message, 1, GOSSIP_TEXT_MAX);
 	int64_t drained;
 
 	if (!address || !unpack_int(message, 2, &drained))
@@ -339,24 +343,24 @@
 		return;
 	}
 	if (kind == GOSSIP_ANNOUNCE)
-		gossip_take_announce(core, &message);
+		gossip_handle_announce(core, &message);
 	else if (kind == GOSSIP_CACHE)
-		gossip_take_cache(core, &message);
+		gossip_handle_cache(core, &message);
 	else if (kind == GOSSIP_DRAIN)
-		gossip_take_drain(core, &message);
+		gossip_handle_drain(core, &message);
 	else if (kind == GOSSIP_DEMAND)
-		gossip_take_demand(core, peer, &message);
-	else if (kind == GOSSIP_NOTICE)
-		gossip_take_notice(core, &message);
+		gossip_handle_demand(core, peer, &message);
+	else if (kind == GOSSIP_RECLAIM_NOTICE)
+		gossip_handle_reclaim_notice(core, &message);
 	else if (kind == GOSSIP_DIGEST)
-		gossip_take_digest(core, peer, &message);
-	else if (kind == GOSSIP_ASK)
-		gossip_take_ask(core, peer, &message);
+		gossip_handle_digest(core, peer, &message);
+	else if (kind == GOSSIP_REQUEST)
+		gossip_handle_request(core, peer, &message);
 	unpack_clear(&message);
 }
 
 /* A daemon that comes up learns all that this one knows. */
-void gossip_welcome(struct core *core, uint64_t peer)
+void gossip_send_all_backends(struct core *core, uint64_t peer)
 {
 	struct backend *backend;
 	struct backend *next;
@@ -369,7 +373,7 @@
 	}
 }
 
-static void gossip_gone(void *data, const struct backend *backend)
+static void gossip_backend_expired(void *data, const struct backend *backend)
 {
 	struct core *core = data;
 
@@ -382,6 +386,7 @@
 
 void gossip_expire(struct core *core)
 {
-	if (fleet_expire(&core->fleet, core->now_us, gossip_gone, core))
+	if (fleet_expire(&core->fleet, core->now_us, gossip_backend_expired,
+			 core))
 		router_fleet_changed(core->router, core->now_us, core->effects);
 }
--- a/libfilberthall/core/metrics.c
+++ b/libfilberthall/core/metrics.c
@@ -7,7 +7,7 @@
 #include "base/alloc.h"
 
 /* Fewer requests than this say nothing about how well one is served. */
-#define METRICS_WORST_LEAST 20
+#define METRICS_WORST_MIN_REQUESTS 20
 
 /* Upper bounds of the histogram of first tokens, in microseconds. */
 static const int64_t metrics_bounds[METRICS_FIRST_TOKEN_BUCKETS] = {
@@ -67,8 +67,8 @@
 	return node ? container_of(node, struct metrics_class, node) : NULL;
 }
 
-static struct metrics_class *metrics_need_class(struct metrics *metrics,
-						const char *name)
+static struct metrics_class *metrics_get_class(struct metrics *metrics,
+					       const char *name)
 {
 	struct metrics_class *class;
 
@@ -82,7 +82,7 @@
 }
 
 static struct metrics_organisation *
-metrics_need_organisation(struct metrics *metrics, const char *name)
+metrics_get_organisation(struct metrics *metrics, const char *name)
 {
 	uint64_t hash = map_hash_text(name);
 	struct metrics_organisation *organisation;
@@ -124,8 +124,8 @@
 	class->first_token_sum_us += first_token_us;
 }
 
-static void metrics_count_end(struct metrics_class *class,
-			      const struct router_outcome *outcome)
+static void metrics_count_result(struct metrics_class *class,
+				 const struct router_outcome *outcome)
 {
 	if (outcome->code == RESULT_OK)
 		class->served++;
@@ -143,9 +143,8 @@
 	struct metrics_organisation *organisation;
 	struct metrics_class *class;
 
-	class = metrics_need_class(metrics, outcome->class_name);
-	organisation =
-		metrics_need_organisation(metrics, outcome->organisation);
+	class = metrics_get_class(metrics, outcome->class_name);
+	organisation = metrics_get_organisation(metrics, outcome->organisation);
 	class->tier = outcome->tier;
 	class->offered++;
 	organisation->offered++;
@@ -154,7 +153,7 @@
 		class->goodput_tokens += outcome->output_tokens;
 		organisation->attained++;
 	}
-	metrics_count_end(class, outcome);
+	metrics_count_result(class, outcome);
 	class->output_tokens += outcome->output_tokens;
 	class->wasted_tokens += outcome->wasted_tokens;
 	if (outcome->first_token_us)
@@ -170,29 +169,32 @@
 	if (class_name) {
 		struct metrics_class *class;
 
-		class = metrics_need_class(metrics, class_name);
+		class = metrics_get_class(metrics, class_name);
 		class->offered++;
 		class->refused++;
 	}
 	if (organisation)
-		metrics_need_organisation(metrics, organisation)->offered++;
+		metrics_get_organisation(metrics, organisation)->offered++;
 }
 
-static double metrics_share(const struct metrics_organisation *organisation)
+static double
+metrics_attained_fraction(const struct metrics_organisation *organisation)
 {
 	return (double)organisation->attained / (double)organisation->offered;
 }
 
-const struct metrics_organisation *metrics_worst(const struct metrics *metrics)
+const struct metrics_organisation *
+metrics_worst_organisation(const struct metrics *metrics)
 {
 	const struct metrics_organisation *worst = NULL;
 	struct metrics_organisation *at;
 	struct metrics_organisation *next;
 
 	map_foreach(at, next, &metrics->organisations, node) {
-		if (at->offered < METRICS_WORST_LEAST)
+		if (at->offered < METRICS_WORST_MIN_REQUESTS)
 			continue;
-		if (!worst || metrics_share(at) < metrics_share(worst))
+		if (!worst || metrics_attained_fraction(at) <
+				      metrics_attained_fraction(worst))
 			worst = at;
 	}
 	return worst;
@@ -275,7 +277,8 @@
 
 void metrics_write(const struct metrics *metrics, struct bytes *out)
 {
-	const struct metrics_organisation *worst = metrics_worst(metrics);
+	const struct metrics_organisation *worst =
+		metrics_worst_organisation(metrics);
 	struct metrics_class *class;
 	struct metrics_class *next;
 	int i;
@@ -299,5 +302,5 @@
 			"# TYPE filberthall_worst_organisation_attained gauge\n"
 			"filberthall_worst_organisation_attained"
 			"{organisation=\"%s\"} %g\n",
-			worst->name, metrics_share(worst));
+			worst->name, metrics_attained_fraction(worst));
 }
--- a/libfilberthall/core/metrics.h
+++ b/libfilberthall/core/metrics.h
@@ -68,7 +68,8 @@
 			   const char *organisation, enum result code);
 
 /** The organisation with the lowest attainment, or NULL. */
-const struct metrics_organisation *metrics_worst(const struct metrics *metrics);
+const struct metrics_organisation *
+metrics_worst_organisation(const struct metrics *metrics);
 
 /** Append the text for Prometheus. */
 void metrics_write(const struct metrics *metrics, struct bytes *out);
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -16,9 +16,9 @@
 #include "core/core_state.h"
 
 /* Longer than two elections; then the outcome is said to be unknown. */
-#define OPERATOR_GIVE_UP_US INT64_C(10000000)
+#define OPERATOR_TIMEOUT_US INT64_C(10000000)
 
-#define OPERATOR_WAIT_MOST_US INT64_C(60000000)
+#define OPERATOR_WAIT_MAX_US INT64_C(60000000)
 
 /* A call with its answer's way back. */
 struct operator_call {
@@ -68,30 +68,31 @@
 	operator_answer(core, call->peer, call->id, code, answer);
 }
 
-static struct pending_call *operator_wait(struct core *core,
-					  const struct operator_call *call,
-					  int64_t give_up_us)
+static struct pending_call *
+operator_add_pending(struct core *core, const struct operator_call *call,
+		     int64_t give_up_us)
 {
 	struct pending_call *waiting = xcalloc(1, sizeof(*waiting));
 
 	waiting->id = call->id;
 	waiting->peer = call->peer;
 	waiting->started_us = core->now_us;
-	waiting->give_up_us = core->now_us + give_up_us;
+	waiting->expires_us = core->now_us + give_up_us;
 	list_append(&core->pending_calls, &waiting->node);
 	return waiting;
 }
 
-static void operator_keep_message(void *data, enum result code,
-				  const char *message)
+static void operator_store_message(void *data, enum result code,
+				   const char *message)
 {
 	bytes_clear(data);
 	bytes_append_text(data, message);
 }
 
 /* The arguments with a change id, the operator's or one of ours. */
-static struct bytes operator_args(struct core *core, const struct bytes *body,
-				  uint64_t ticket)
+static struct bytes operator_args_with_change_id(struct core *core,
+						 const struct bytes *body,
+						 uint64_t ticket)
 {
 	json_t *args = json_loadb(body->data, body->len, 0, NULL);
 	struct bytes out = { 0 };
@@ -112,12 +113,14 @@
 	return out;
 }
 
-static void operator_write(struct core *core, const struct operator_call *call)
+static void operator_propose(struct core *core,
+			     const struct operator_call *call)
 {
 	struct entry_head head = consensus_head(core);
-	struct bytes args = operator_args(core, call->body, head.ticket);
+	struct bytes args =
+		operator_args_with_change_id(core, call->body, head.ticket);
 	struct bytes message = { 0 };
-	struct error_handler handler = { operator_keep_message, &message };
+	struct error_handler handler = { operator_store_message, &message };
 	struct bytes entry = { 0 };
 	struct proposal *proposal;
 	enum result code;
@@ -129,7 +132,7 @@
 		operator_refuse(core, call, code, bytes_text(&message));
 	} else {
 		proposal = propose_entry(core, head.ticket, &entry,
-					 core->now_us + OPERATOR_GIVE_UP_US);
+					 core->now_us + OPERATOR_TIMEOUT_US);
 		proposal->admin_id = call->id;
 	}
 	bytes_clear(&args);
@@ -149,7 +152,7 @@
 	operator_answer(core, 0, proposal->admin_id, applied->code, answer);
 }
 
-void operator_lost(struct core *core, struct proposal *proposal)
+void operator_timed_out(struct core *core, struct proposal *proposal)
 {
 	operator_answer(core, 0, proposal->admin_id, RESULT_NO_QUORUM,
 			json_pack("{s:s}", "message",
@@ -193,8 +196,8 @@
 {
 	struct pending_call *waiting;
 
-	waiting = operator_wait(core, call, OPERATOR_WAIT_MOST_US);
-	in_force_wait(core, waiting, call->body);
+	waiting = operator_add_pending(core, call, OPERATOR_WAIT_MAX_US);
+	pending_call_wait_for_index(core, waiting, call->body);
 }
 
 static void operator_drain(struct core *core, const struct operator_call *call)
@@ -305,8 +308,8 @@
 	return NULL;
 }
 
-static void operator_to_leader(struct core *core,
-			       const struct operator_call *call)
+static void operator_forward_to_leader(struct core *core,
+				       const struct operator_call *call)
 {
 	uint64_t leader = raft_leader(core->raft);
 	struct pending_call *waiting;
@@ -316,8 +319,9 @@
 				"no leader is known; try again in a second");
 		return;
 	}
-	waiting = operator_wait(core, call,
-				OPERATOR_WAIT_MOST_US + OPERATOR_GIVE_UP_US);
+	waiting = operator_add_pending(core, call,
+				       OPERATOR_WAIT_MAX_US +
+					       OPERATOR_TIMEOUT_US);
 	waiting->ticket = ++core->next_ticket;
 	waiting->leader = leader;
 	forward_admin(core, leader, waiting->ticket, call->key->id,
@@ -334,7 +338,7 @@
 		operator_refuse(core, call, RESULT_PATH_FORBIDDEN,
 				"this needs a key for the whole site");
 	else if (command->leader && !raft_is_leader(core->raft))
-		operator_to_leader(core, call);
+		operator_forward_to_leader(core, call);
 	else
 		command->run(core, call);
 }
@@ -374,7 +378,7 @@
 		operator_read(core, &call);
 		break;
 	case ADMIN_WRITE:
-		operator_write(core, &call);
+		operator_propose(core, &call);
 		break;
 	case ADMIN_OTHER:
 		operator_run(core, &call);
--- a/libfilberthall/core/outcome.c
+++ b/libfilberthall/core/outcome.c
@@ -11,7 +11,7 @@
  * A claim's end is worth proposing for as long as a resend may come; without
  * it the resend finds "running" until the owner is declared gone.
  */
-#define OUTCOME_CLAIM_GIVE_UP_US INT64_C(600000000)
+#define OUTCOME_CLAIM_TIMEOUT_US INT64_C(600000000)
 
 static void outcome_settle_claim(struct core *core,
 				 const struct caller_request *request,
@@ -31,11 +31,11 @@
 		op.body = outcome->answer ? outcome->answer->data : NULL;
 		op.body_len = outcome->answer ? outcome->answer->len : 0;
 	}
-	request_propose(core, &op, core->now_us + OUTCOME_CLAIM_GIVE_UP_US);
+	request_propose(core, &op, core->now_us + OUTCOME_CLAIM_TIMEOUT_US);
 }
 
-static void outcome_bill(struct core *core,
-			 const struct router_outcome *outcome)
+static void outcome_count_usage(struct core *core,
+				const struct router_outcome *outcome)
 {
 	struct usage_counters add = { 0 };
 
@@ -48,14 +48,15 @@
 			    outcome->class_name, &add);
 }
 
-static void outcome_count_service(struct core *core,
-				  const struct router_outcome *outcome)
+static void outcome_count_team(struct core *core,
+			       const struct router_outcome *outcome)
 {
 	const struct class_rule *rule;
 
 	rule = rules_class(agreed_settings(core->agreed), outcome->class_name);
 	if (rule)
-		demand_count(core->demand, rule->team, outcome->attained);
+		demand_count_request(core->demand, rule->team,
+				     outcome->attained);
 }
 
 void outcome_finished(void *data, const struct router_outcome *outcome)
@@ -64,8 +65,8 @@
 	struct caller_request *request = caller_request_find(core, outcome->id);
 
 	metrics_count(core->metrics, outcome);
-	outcome_bill(core, outcome);
-	outcome_count_service(core, outcome);
+	outcome_count_usage(core, outcome);
+	outcome_count_team(core, outcome);
 	if (!request)
 		return;
 	if (request->claim_id[0])
--- a/libfilberthall/core/peers.c
+++ b/libfilberthall/core/peers.c
@@ -13,7 +13,7 @@
  * would break the limit of 5 KB/s a daemon, and links go to voters and to
  * daemons of the same zone only (docs/CAPACITY.md).
  */
-#define PEERS_FULL_MESH 32
+#define PEERS_FULL_MESH_MAX 32
 
 static bool peers_match(const struct map_node *node, const void *key)
 {
@@ -30,7 +30,7 @@
 	return node ? container_of(node, struct peer, node) : NULL;
 }
 
-static struct peer *peers_need(struct core *core, uint64_t id, const char *zone)
+static struct peer *peers_get(struct core *core, uint64_t id, const char *zone)
 {
 	struct peer *peer = peers_find(core, id);
 
@@ -61,15 +61,15 @@
 
 void peers_up(struct core *core, const struct event_link_up *up)
 {
-	struct peer *peer = peers_need(core, up->peer, up->zone);
+	struct peer *peer = peers_get(core, up->peer, up->zone);
 
 	peer->up = true;
 	core->peers_version++;
 	core_log(core, LOG_INFO, "peers", "link to %s is up",
 		 up->name ? up->name : "?");
 	raft_peer_up(core->raft, up->peer, core->now_us, core->effects);
-	gossip_welcome(core, up->peer);
-	peers_tell_router(core);
+	gossip_send_all_backends(core, up->peer);
+	peers_update_router(core);
 }
 
 void peers_down(struct core *core, uint64_t id)
@@ -83,7 +83,7 @@
 	core_log(core, LOG_WARN, "peers", "link to member %llx is down",
 		 (unsigned long long)id);
 	raft_peer_down(core->raft, id, core->now_us, core->effects);
-	peers_tell_router(core);
+	peers_update_router(core);
 }
 
 void peers_send(struct core *core, uint64_t peer, enum link_channel channel,
@@ -127,7 +127,7 @@
 	return n;
 }
 
-static bool peers_wants_link(const struct core *core,
+static bool peers_needs_link(const struct core *core,
 			     const struct members *members,
 			     const struct member *member)
 {
@@ -136,7 +136,7 @@
 	if (member->id == core->options.self)
 		return false;
 	self = members_find(members, core->options.self);
-	return members->count <= PEERS_FULL_MESH ||
+	return members->count <= PEERS_FULL_MESH_MAX ||
 	       member->role == MEMBER_VOTER ||
 	       (self && self->role == MEMBER_VOTER) ||
 	       !strcmp(member->zone, core->options.zone);
@@ -155,7 +155,8 @@
 	open->zone = xstrdup(member->zone);
 }
 
-static void peers_close_gone(struct core *core, const struct members *members)
+static void peers_close_removed(struct core *core,
+				const struct members *members)
 {
 	struct peer *peer;
 	struct peer *next;
@@ -170,7 +171,7 @@
 }
 
 /* Keep a link to each member of the present configuration. */
-void peers_follow_members(struct core *core)
+void peers_update_links(struct core *core)
 {
 	const struct members *members = raft_members(core->raft);
 	size_t i;
@@ -181,16 +182,16 @@
 	for (i = 0; i < members->count; i++) {
 		const struct member *member = &members->items[i];
 
-		if (peers_wants_link(core, members, member))
+		if (peers_needs_link(core, members, member))
 			peers_open(core,
-				   peers_need(core, member->id, member->zone),
+				   peers_get(core, member->id, member->zone),
 				   member);
 	}
-	peers_close_gone(core, members);
+	peers_close_removed(core, members);
 }
 
 /* A live peer in another zone, to hold a copy of the usage counters. */
-static uint64_t peers_copy_holder(const struct core *core)
+static uint64_t peers_usage_replica(const struct core *core)
 {
 	uint64_t any = 0;
 	struct peer *peer;
@@ -207,7 +208,7 @@
 }
 
 /* Tell the router and the billing who lives and who leads. */
-void peers_tell_router(struct core *core)
+void peers_update_router(struct core *core)
 {
 	uint64_t leader = raft_leader(core->raft);
 	uint64_t ids[MEMBER_MAX];
@@ -221,5 +222,5 @@
 	n = peers_live(core, ids, MEMBER_MAX);
 	router_peers(core->router, leader, ids, n, core->now_us);
 	usage_peers(core->usage, leader == core->options.self ? 0 : leader,
-		    peers_copy_holder(core));
+		    peers_usage_replica(core));
 }
--- a/libfilberthall/core/pending_call.c
+++ b/libfilberthall/core/pending_call.c
@@ -11,7 +11,7 @@
  * admit nothing, so an old setting can't act there, and a change needn't wait
  * for them to be in force.
  */
-static size_t in_force_silent(const struct core *core)
+static size_t pending_call_stale_members(const struct core *core)
 {
 	const struct members *members = raft_members(core->raft);
 	double stale_ms = rules_number(agreed_settings(core->agreed),
@@ -29,8 +29,8 @@
 	return silent;
 }
 
-static void in_force_tell(struct core *core, struct pending_call *waiting,
-			  enum result code)
+static void pending_call_answer(struct core *core, struct pending_call *waiting,
+				enum result code)
 {
 	size_t members = 0;
 	size_t applied = 0;
@@ -42,13 +42,15 @@
 			json_pack("{s:I, s:I, s:I, s:f}", "in_force",
 				  (json_int_t)applied, "members",
 				  (json_int_t)members, "silent",
-				  (json_int_t)in_force_silent(core), "seconds",
+				  (json_int_t)pending_call_stale_members(core),
+				  "seconds",
 				  (double)(core->now_us - waiting->started_us) /
 					  1e6));
 }
 
 /* Whether a waiting call can be answered now. */
-static bool in_force_settle(struct core *core, struct pending_call *waiting)
+static bool pending_call_try_answer(struct core *core,
+				    struct pending_call *waiting)
 {
 	size_t members = 0;
 	size_t applied;
@@ -73,33 +75,34 @@
 		return true;
 	}
 	applied = raft_applied_on(core->raft, waiting->wait_index, &members);
-	if (applied + in_force_silent(core) < members)
+	if (applied + pending_call_stale_members(core) < members)
 		return false;
-	in_force_tell(core, waiting, RESULT_OK);
+	pending_call_answer(core, waiting, RESULT_OK);
 	return true;
 }
 
-void in_force_wait(struct core *core, struct pending_call *waiting,
-		   const struct bytes *args)
+void pending_call_wait_for_index(struct core *core,
+				 struct pending_call *waiting,
+				 const struct bytes *args)
 {
 	json_t *root = json_loadb(args->data, args->len, 0, NULL);
 
 	waiting->wait_index =
 		json_integer_value(json_object_get(root, "index"));
 	json_decref(root);
-	in_force_tick(core);
+	pending_call_tick(core);
 }
 
-void in_force_tick(struct core *core)
+void pending_call_tick(struct core *core)
 {
 	struct pending_call *waiting;
 	struct pending_call *next;
 
 	list_foreach_safe(waiting, next, &core->pending_calls, node) {
-		bool settled = in_force_settle(core, waiting);
+		bool settled = pending_call_try_answer(core, waiting);
 
-		if (!settled && waiting->give_up_us <= core->now_us) {
-			in_force_tell(core, waiting, RESULT_NO_QUORUM);
+		if (!settled && waiting->expires_us <= core->now_us) {
+			pending_call_answer(core, waiting, RESULT_NO_QUORUM);
 			settled = true;
 		}
 		if (!settled)
--- a/libfilberthall/core/propose.c
+++ b/libfilberthall/core/propose.c
@@ -38,7 +38,7 @@
 	proposal->ticket = ticket;
 	proposal->entry = *entry;
 	*entry = (struct bytes){ 0 };
-	proposal->give_up_us = give_up_us;
+	proposal->expires_us = give_up_us;
 	list_append(&core->proposals, &proposal->node);
 	propose_send(core, proposal);
 	return proposal;
@@ -67,9 +67,9 @@
 	struct proposal *next;
 
 	list_foreach_safe(proposal, next, &core->proposals, node) {
-		if (proposal->give_up_us <= core->now_us) {
+		if (proposal->expires_us <= core->now_us) {
 			if (proposal->admin_id)
-				operator_lost(core, proposal);
+				operator_timed_out(core, proposal);
 			propose_free(proposal);
 			continue;
 		}
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -22,7 +22,7 @@
 struct request_plan {
 	const struct key *key;
 	const char *class_name;
-	const char *repeat_key; /* NULL: not claimed */
+	const char *dedup_key; /* NULL: not claimed */
 	bool idempotent;
 	enum result code;
 	const char *message;
@@ -74,8 +74,8 @@
 	caller_request_free(core, request);
 }
 
-static void request_plan_refuse(struct request_plan *plan, enum result code,
-				const char *message)
+static void request_plan_set_refusal(struct request_plan *plan,
+				     enum result code, const char *message)
 {
 	plan->code = code;
 	plan->message = message;
@@ -93,23 +93,23 @@
 	route = service ? rules_route(service, asked->method, asked->path)
 			: NULL;
 	if (!route) {
-		request_plan_refuse(plan, RESULT_NO_ROUTE, asked->service);
+		request_plan_set_refusal(plan, RESULT_NO_ROUTE, asked->service);
 		return;
 	}
 	if (!plan->class_name && route->class_name[0])
 		plan->class_name = route->class_name;
 	plan->idempotent = route->idempotency == IDEMPOTENCY_SAFE;
 	if (route->idempotency == IDEMPOTENCY_REQUIRED) {
-		plan->repeat_key = asked->idempotency_key;
-		if (!plan->repeat_key)
-			request_plan_refuse(
+		plan->dedup_key = asked->idempotency_key;
+		if (!plan->dedup_key)
+			request_plan_set_refusal(
 				plan, RESULT_NEEDS_IDEMPOTENCY_KEY,
 				"send a header Idempotency-Key that is new for "
 				"each call and the same for a resend");
 	} else if (route->idempotency == IDEMPOTENCY_BODY) {
-		plan->repeat_key = asked->idempotency_key
-					   ? asked->idempotency_key
-					   : asked->body_hash;
+		plan->dedup_key = asked->idempotency_key
+					  ? asked->idempotency_key
+					  : asked->body_hash;
 	}
 }
 
@@ -124,7 +124,7 @@
 	rule = rules_class(agreed_settings(core->agreed), plan->class_name);
 	plan->idempotent = rule && rule->idempotent;
 	if (!plan->idempotent)
-		plan->repeat_key = asked->idempotency_key;
+		plan->dedup_key = asked->idempotency_key;
 }
 
 static void request_plan_permit(struct core *core,
@@ -134,15 +134,16 @@
 	enum result code;
 
 	if (!plan->class_name) {
-		request_plan_refuse(plan, RESULT_CLASS_FORBIDDEN,
-				    "the key has no default class; name one "
-				    "in X-Filberthall-Class");
+		request_plan_set_refusal(
+			plan, RESULT_CLASS_FORBIDDEN,
+			"the key has no default class; name one "
+			"in X-Filberthall-Class");
 		return;
 	}
 	code = key_permits(plan->key, agreed_settings(core->agreed),
 			   plan->class_name, asked->model, asked->service);
 	if (code)
-		request_plan_refuse(plan, code, NULL);
+		request_plan_set_refusal(plan, code, NULL);
 }
 
 static struct request_plan request_plan(struct core *core,
@@ -151,13 +152,14 @@
 	struct request_plan plan = { 0 };
 
 	if (!asked->key_hash) {
-		request_plan_refuse(&plan, RESULT_NO_KEY,
-				    "send a header Authorization: Bearer KEY");
+		request_plan_set_refusal(
+			&plan, RESULT_NO_KEY,
+			"send a header Authorization: Bearer KEY");
 		return plan;
 	}
 	plan.key = keys_find(agreed_keys(core->agreed), asked->key_hash);
 	if (!plan.key || !plan.key->caller) {
-		request_plan_refuse(&plan, RESULT_KEY_UNKNOWN, NULL);
+		request_plan_set_refusal(&plan, RESULT_KEY_UNKNOWN, NULL);
 		return plan;
 	}
 	/* The caller's word first, then the route's, then the key's. */
@@ -243,8 +245,9 @@
 }
 
 /* What an arrival meets whose claim is held by another, or by its past. */
-static void request_meet(struct core *core, struct caller_request *request,
-			 enum result code)
+static void request_handle_claim_state(struct core *core,
+				       struct caller_request *request,
+				       enum result code)
 {
 	const struct claim *claim;
 
@@ -252,7 +255,7 @@
 	case RESULT_CLAIM_DONE:
 		claim = claims_find(agreed_claims(core->agreed),
 				    request->claim_id);
-		answer_kept(core, request, claim);
+		answer_from_claim(core, request, claim);
 		caller_request_free(core, request);
 		break;
 	case RESULT_CLAIM_RUNNING:
@@ -285,7 +288,7 @@
 	code = claims_probe(agreed_claims(core->agreed), request->claim_id,
 			    request->event->u.request.body_hash);
 	if (code)
-		request_meet(core, request, code);
+		request_handle_claim_state(core, request, code);
 	else
 		request_claim(core, request);
 }
@@ -335,12 +338,12 @@
 	request->class_name = xstrdup(plan.class_name);
 	request->idempotent = plan.idempotent;
 	request->deadline_us = request_deadline(core, asked, plan.class_name);
-	if (!plan.repeat_key) {
+	if (!plan.dedup_key) {
 		request_route(core, request);
 		return;
 	}
 	claim_id(request->claim_id, request->organisation,
-		 asked->service ? asked->service : "", plan.repeat_key);
+		 asked->service ? asked->service : "", plan.dedup_key);
 	request_probe(core, request);
 }
 
@@ -365,7 +368,7 @@
 		return;
 	}
 	if (outcome->code) {
-		request_meet(core, request, outcome->code);
+		request_handle_claim_state(core, request, outcome->code);
 		return;
 	}
 	answer_span(core, request, "claim", request->arrived_us, RESULT_OK,
--- a/libfilberthall/core/span.c
+++ b/libfilberthall/core/span.c
@@ -10,13 +10,13 @@
 #define SPAN_ID_LENGTH 16
 
 /* A caller without a usable traceparent got one at the edge. */
-static bool span_has_trace(const struct span_note *note)
+static bool span_has_trace(const struct span_info *note)
 {
 	return note->trace && strlen(note->trace) == SPAN_TRACE_LENGTH;
 }
 
 static struct effect_span *span_add(struct effects *effects,
-				    const struct span_note *note)
+				    const struct span_info *note)
 {
 	struct effect_span *span = &effects_add(effects, EFFECT_SPAN)->u.span;
 
@@ -29,14 +29,14 @@
 	return span;
 }
 
-void span_root(struct effects *effects, const struct span_note *note)
+void span_root(struct effects *effects, const struct span_info *note)
 {
 	if (span_has_trace(note))
 		span_add(effects, note)->trace = xstrdup(note->trace);
 }
 
 void span_child(struct effects *effects, struct rng *rng,
-		const struct span_note *note)
+		const struct span_info *note)
 {
 	struct effect_span *span;
 	unsigned long long id;
--- a/libfilberthall/core/span.h
+++ b/libfilberthall/core/span.h
@@ -9,7 +9,7 @@
 #include "core/effect.h"
 
 /** A finished span, to be written. Text is borrowed. */
-struct span_note {
+struct span_info {
 	uint64_t id;	   /**< request */
 	const char *trace; /**< traceparent of the edge's span */
 	const char *name;
@@ -20,10 +20,10 @@
 };
 
 /** The edge's own span, the root on this VM. */
-void span_root(struct effects *effects, const struct span_note *note);
+void span_root(struct effects *effects, const struct span_info *note);
 
 /** A span below the edge's, with an id drawn from `rng`. */
 void span_child(struct effects *effects, struct rng *rng,
-		const struct span_note *note);
+		const struct span_info *note);
 
 #endif
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -46,7 +46,8 @@
 
 static json_t *status_worst(const struct core *core)
 {
-	const struct metrics_organisation *worst = metrics_worst(core->metrics);
+	const struct metrics_organisation *worst =
+		metrics_worst_organisation(core->metrics);
 
 	if (!worst)
 		return json_null();
--- a/libfilberthall/load/router_log.c
+++ b/libfilberthall/load/router_log.c
@@ -9,7 +9,7 @@
 		 const char *name, int64_t start_us, int64_t end_us,
 		 enum result code, const char *detail, struct effects *effects)
 {
-	struct span_note note = { request->ask.id,
+	struct span_info note = { request->ask.id,
 				  request->ask.trace,
 				  name,
 				  start_us,
--- a/tests/core/t-demand.c
+++ b/tests/core/t-demand.c
@@ -85,7 +85,7 @@
 
 	test_write(&a, "base", 3, 2, "calves", 10, 9);
 	demand_read(demand, 1, a.data, a.len, 0, test_served, served);
-	demand_visit(demand, DEMAND_KEEP_US + 1, test_keep, &sum);
+	demand_visit(demand, DEMAND_TTL_US + 1, test_keep, &sum);
 	g_assert_cmpstr(sum.pool, ==, "");
 	bytes_clear(&a);
 	demand_free(demand);
