--- a/libfilberthall/core/answer.c
+++ b/libfilberthall/core/answer.c
@@ -1,5 +1,6 @@
 /*
- * Ends of requests that never reached, or no longer need, the router.
+ * Answers requests without the router: refusals, and answers stored with a
+ * claim.
  */
 #include <string.h>
 
@@ -7,7 +8,7 @@
 #include "core/core_state.h"
 #include "core/span.h"
 
-/* Name of the span that all others of a request are below. */
+/* Name of a request's root span. */
 #define ANSWER_ROOT_SPAN "edge"
 
 void answer_refuse(struct core *core, const struct caller_request *request,
--- a/libfilberthall/core/autoscaler.c
+++ b/libfilberthall/core/autoscaler.c
@@ -1,12 +1,11 @@
 /*
- * The fleet as the one in charge runs it: how many backend servers, which
- * orders, which stops, and what that costs. Every daemon tells it its demand
- * and carries out a reclaim notice for itself.
- *
- * Failure answered: charge changes hands while orders are on the way. Orders
- * are placed in the log before they are sent, are sent only under a lease
- * that outlasts the call, and a new holder reads the platform's list back
- * before it orders more (fleet/order.h).
+ * Autoscaler. The lease holder decides how many backend servers run, orders
+ * starts and stops from the platform and adds up their cost. Every daemon
+ * sends it its demand and handles reclaim notices itself. The lease may pass
+ * to another daemon while orders are in flight. Orders are therefore committed
+ * to the log before they are sent, are sent only under a lease that outlasts
+ * the call, and a new lease holder reads the platform's list before it orders
+ * more (fleet/order.h).
  */
 #include <string.h>
 
@@ -82,7 +81,7 @@
 	router_backend_lost(core->router, address, core->now_us, core->effects);
 }
 
-/* A drained server is stopped by an order of its own. */
+/* Orders the stop of a backend server that has been drained. */
 static void autoscaler_order_stop(void *data, const char *address)
 {
 	struct core *core = data;
--- a/libfilberthall/core/autoscaler_settings.c
+++ b/libfilberthall/core/autoscaler_settings.c
@@ -1,5 +1,6 @@
 /*
- * What the settings say of the fleet: policy, pools, zones, budgets.
+ * Passes the fleet's settings to the planner: policy, pools, zones and
+ * budgets.
  */
 #include <stdio.h>
 #include <string.h>
@@ -7,7 +8,7 @@
 #include "agree/rules.h"
 #include "core/core_state.h"
 
-/* Slots of a server that hasn't announced itself yet. */
+/* Slots assumed for a backend server that hasn't announced itself yet. */
 #define AUTOSCALER_DEFAULT_SLOTS 16
 
 #define AUTOSCALER_MODEL_PREFIX "site/fleet/model/"
--- a/libfilberthall/core/billing.c
+++ b/libfilberthall/core/billing.c
@@ -1,6 +1,6 @@
 /*
- * Usage windows and their reports: counters go to a second VM and to the one
- * in charge within a second; the one in charge commits each window's figures
+ * Usage windows and their reports. Counters are sent to a second VM and to the
+ * leader within a second. The leader commits each window's figures to the log
  * and then reports them, only under a lease that outlasts the call.
  */
 #include "agree/rules.h"
@@ -49,7 +49,7 @@
 	}
 }
 
-/* Propose the next window's figures, one window at a time. */
+/* Proposes the next window's figures, one window at a time. */
 static void billing_propose_window(struct core *core,
 				   const struct report_situation *situation)
 {
--- a/libfilberthall/core/consensus.c
+++ b/libfilberthall/core/consensus.c
@@ -1,6 +1,6 @@
 /*
- * The log and what comes out of it: each committed entry changes the agreed
- * state, and what it changed is acted upon at once.
+ * Applies committed log entries to the replicated state and passes each change
+ * on to the modules that it concerns.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,14 +9,15 @@
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* A leader that came up first waits for nobody before it seeds a site. */
+/* Time after which the proposal of a new site's first settings is given up. */
 #define CONSENSUS_SEED_TIMEOUT_US INT64_C(60000000)
 
 /*
- * A daemon silent for this long is taken for dead, and what it claimed for
- * unknown. It is longer than an election and a lease together, and shorter
- * than callers' patience with a resend. One that lives after all only gets
- * its claims refused once and takes a new owner number.
+ * A daemon without contact for this long is considered dead, and the outcome
+ * of its claims unknown. This is longer than an election and a lease together,
+ * and shorter than callers wait for the answer of a resend. If the daemon is
+ * alive after all, its next claim is refused once and it takes a new owner
+ * number.
  */
 #define CONSENSUS_OWNER_TIMEOUT_US INT64_C(10000000)
 
@@ -103,9 +104,9 @@
 		const struct claim_outcome *outcome = &applied->claims[i];
 
 		/*
-		 * The others took this daemon for dead. Claims under its old
-		 * owner number are closed for good; a new number is as good
-		 * as a restart, and nothing that was sent is sent again.
+		 * The other daemons considered this one dead. Claims under its
+		 * old owner number stay closed; a new number has the same
+		 * effect as a restart, and nothing is sent twice.
 		 */
 		if (outcome->code == RESULT_CONFLICT &&
 		    outcome->verb == CLAIM_VERB_OPEN &&
@@ -155,7 +156,7 @@
 	router_set_organisation(core->router, rule, core->now_us);
 }
 
-/* What there was before a snapshot replaced the state. */
+/* Names that existed before a snapshot replaced the state. */
 struct consensus_names {
 	char **names;
 	size_t n;
@@ -217,9 +218,9 @@
 }
 
 /*
- * A daemon that was cut off long enough gets a snapshot in place of the
- * entries it missed. What they removed must be acted upon as well: a key
- * withdrawn meanwhile would otherwise go on streaming.
+ * A daemon that was disconnected for long gets a snapshot in place of the
+ * entries it missed. What those entries removed is removed here too; otherwise
+ * streams of a key withdrawn meanwhile would continue.
  */
 static void consensus_install_snapshot(struct core *core,
 				       const struct raft_committed *committed)
@@ -308,9 +309,8 @@
 }
 
 /*
- * The leader declares owners of claims gone that have been silent: their
- * claims end as unknown, and callers' resends get that answer in place of
- * "running" for ever.
+ * On the leader: closes the claims of unreachable owners as unknown, so that
+ * callers' resends get that answer in place of "running" for ever.
  */
 static void consensus_expire_claim_owners(struct core *core)
 {
@@ -340,7 +340,10 @@
 	}
 }
 
-/* The settings of the group, as the leader's repair needs them. */
+/*
+ * Passes the membership settings to Raft, for the leader's replacement of
+ * voters.
+ */
 static void consensus_set_policy(struct core *core)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
--- a/libfilberthall/core/core.c
+++ b/libfilberthall/core/core.c
@@ -1,6 +1,6 @@
 /*
- * The reducer: one event in, effects out. Which part an event is for stands
- * in one switch; duties that depend on time stand in core_tick().
+ * The reducer: takes one event and returns effects. core_handle_event()
+ * dispatches events to the modules; periodic work is in core_tick().
  */
 #include "core/core.h"
 
@@ -13,7 +13,7 @@
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* Slow duties: metrics, graves, what is said once a second. */
+/* Interval of metrics, membership policy and the expiry of claim owners. */
 #define CORE_SLOW_TICK_US 1000000
 
 /* Half of Raft's heartbeat between voters. */
@@ -191,7 +191,7 @@
 static void core_stop(struct core *core, const struct event_stop *stop)
 {
 	if (core->stop_deadline_us) {
-		/* Asked a second time: whoever asks won't wait any longer. */
+		/* A second stop request ends the grace period. */
 		core->stop_deadline_us = core->now_us;
 		return;
 	}
@@ -203,7 +203,10 @@
 	raft_transfer(core->raft, core->now_us, core->effects);
 }
 
-/* A planned stop waits for whole streams, settled claims and a new leader. */
+/*
+ * A planned stop waits until all streams have ended, all proposals are settled
+ * and leadership is transferred.
+ */
 static void core_try_exit(struct core *core)
 {
 	bool done;
--- a/libfilberthall/core/demand.c
+++ b/libfilberthall/core/demand.c
@@ -6,7 +6,7 @@
 #include "base/alloc.h"
 #include "core/pack.h"
 
-/* What one daemon said of one pool. */
+/* One daemon's demand for one pool. */
 struct demand_report {
 	struct list node;
 	uint64_t member;
@@ -69,7 +69,10 @@
 	found->attained += attained;
 }
 
-/* Pools are counted first: msgpack wants an array's length before it. */
+/*
+ * Pools are counted first because msgpack writes an array's length before its
+ * items.
+ */
 static void demand_count_pool(void *data, const struct router_pool_view *view)
 {
 	(void)view;
@@ -248,7 +251,7 @@
 	}
 }
 
-/* The sum for one pool while it is added up. */
+/* Running sum for one pool. */
 struct demand_total {
 	struct map_node node;
 	struct demand_sum sum;
--- a/libfilberthall/core/demand.h
+++ b/libfilberthall/core/demand.h
@@ -12,12 +12,10 @@
 #include "load/router.h"
 
 /**
- * What all daemons' requests ask of the fleet, as the one in charge adds it
- * up, and what service each team received. Each daemon says its own every
- * two seconds.
- *
- * Failure answered: a daemon dies and its last demand would be planned for
- * for ever; what a daemon said counts for DEMAND_TTL_US only.
+ * Demand of all daemons, summed up by the lease holder, and the requests that
+ * each team had served. Each daemon sends its own figures every two seconds. A
+ * daemon's figures expire after DEMAND_TTL_US, so that the demand of one that
+ * died isn't planned for any longer.
  */
 #define DEMAND_TTL_US INT64_C(6000000)
 
@@ -57,7 +55,7 @@
 				       int64_t requests, int64_t attained),
 			void *served_data);
 
-/** Call `visit` for each pool that any daemon named lately. */
+/** Call `visit` for each pool in a report that hasn't expired. */
 void demand_visit(struct demand *demand, int64_t now_us,
 		  void (*visit)(void *data, const struct demand_sum *sum),
 		  void *data);
--- a/libfilberthall/core/forward.c
+++ b/libfilberthall/core/forward.c
@@ -1,7 +1,7 @@
 /*
- * Messages of LINK_FORWARD: what a daemon asks of the leader, and the
- * leader's answers. Any daemon takes operators' calls and claims; only the
- * leader can append to the log.
+ * Messages of LINK_FORWARD: log entries and operators' calls forwarded to the
+ * leader, and its answers. Any daemon accepts operators' calls and claims;
+ * only the leader can append to the log.
  */
 #include <stdlib.h>
 
--- a/libfilberthall/core/gossip.c
+++ b/libfilberthall/core/gossip.c
@@ -1,10 +1,9 @@
 /*
- * The fleet as all daemons know it. A backend server announces itself to one
- * daemon, which passes that on to all others over LINK_FLEET: whole when it
- * joins, leaves or changes what it is, else as a row of the next digest.
- *
- * What arrives over a link isn't passed on again: with a link between every
- * two daemons, one hop reaches all.
+ * Replicates the fleet's state between daemons. A backend server announces
+ * itself to one daemon, which forwards that to all others over LINK_FLEET: in
+ * full when the server joins, leaves or changes its identity, else as a row of
+ * the next digest. What arrives over a link isn't forwarded again: with a link
+ * between every two daemons, one hop reaches all.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -36,7 +35,7 @@
 #define GOSSIP_DIGEST_INTERVAL_LARGE_SITE_US 2000000
 #define GOSSIP_SMALL_SITE_MAX 32
 
-/* Unknown servers asked for at once; the rest with the next digest. */
+/* Unknown backend servers requested at once; the rest with the next digest. */
 #define GOSSIP_REQUEST_MAX 256
 
 static void gossip_pack_announce(struct core *core,
@@ -86,7 +85,7 @@
 	return backend ? digest_identity(backend) : 0;
 }
 
-/* Names go out at once if they changed, figures with the next digest. */
+/* Sends a changed identity at once, load figures with the next digest. */
 void gossip_announce(struct core *core, const struct event_announce *announce)
 {
 	uint64_t before =
@@ -109,7 +108,7 @@
 	bytes_clear(&body);
 }
 
-/* Pass on what was heard since the last digest. */
+/* Sends the load figures received since the last digest. */
 void gossip_digest(struct core *core)
 {
 	int64_t every_us =
@@ -134,7 +133,7 @@
 	bytes_clear(&rows);
 }
 
-/* Servers of a digest that this daemon doesn't know. */
+/* Backend servers of a digest that this daemon doesn't know. */
 struct gossip_unknown {
 	uint64_t hashes[GOSSIP_REQUEST_MAX];
 	size_t n;
@@ -235,7 +234,7 @@
 	bytes_clear(&body);
 }
 
-/* This daemon's demand, to whoever plans the fleet. */
+/* Sends this daemon's demand to the leader, which plans the fleet. */
 void gossip_demand(struct core *core, uint64_t leader,
 		   const struct bytes *demand)
 {
@@ -249,7 +248,7 @@
 	peers_send(core, leader, LINK_FLEET, &body);
 }
 
-/* The platform tells one daemon of a reclaim; all must know at once. */
+/* The platform notifies one daemon of a reclaim, which forwards it to all. */
 void gossip_reclaim_notice(struct core *core, const char *zone, int64_t in_us)
 {
 	struct bytes body = { 0 };
@@ -359,7 +358,7 @@
 	unpack_clear(&message);
 }
 
-/* A daemon that comes up learns all that this one knows. */
+/* Sends all known backend servers to a peer whose link came up. */
 void gossip_send_all_backends(struct core *core, uint64_t peer)
 {
 	struct backend *backend;
--- a/libfilberthall/core/metrics.c
+++ b/libfilberthall/core/metrics.c
@@ -6,7 +6,10 @@
 
 #include "base/alloc.h"
 
-/* Fewer requests than this say nothing about how well one is served. */
+/*
+ * Organisations with fewer requests are left out: the fraction would be mostly
+ * noise.
+ */
 #define METRICS_WORST_MIN_REQUESTS 20
 
 /* Upper bounds of the histogram of first tokens, in microseconds. */
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -1,10 +1,10 @@
 /*
- * Operators' calls: who calls, may they, and either an answer from this
- * daemon's state, an entry for the log, or a call to the leader.
- *
- * Failure answered: the answer of a change is lost and the operator sends it
- * again. A change without a change id gets one here, so that at least our own
- * resends to a new leader do nothing twice; the command line sends its own.
+ * Operators' calls: authenticates and authorises the operator, then answers
+ * from this daemon's state, proposes a log entry or forwards the call to the
+ * leader. If the answer to a change is lost, the operator sends the change
+ * again. A change without a change id gets one here, so that this daemon's own
+ * resends to a new leader aren't applied twice; the command line sends its
+ * own.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -15,12 +15,12 @@
 #include "base/cleanup.h"
 #include "core/core_state.h"
 
-/* Longer than two elections; then the outcome is said to be unknown. */
+/* Longer than two elections; after it the outcome is reported as unknown. */
 #define OPERATOR_TIMEOUT_US INT64_C(10000000)
 
 #define OPERATOR_WAIT_MAX_US INT64_C(60000000)
 
-/* A call with its answer's way back. */
+/* A call and where its answer is sent. */
 struct operator_call {
 	uint64_t peer; /**< 0: this daemon's own listener */
 	uint64_t id;
@@ -89,7 +89,10 @@
 	bytes_append_text(data, message);
 }
 
-/* The arguments with a change id, the operator's or one of ours. */
+/*
+ * The arguments with a change id, which is generated if the operator sent
+ * none.
+ */
 static struct bytes operator_args_with_change_id(struct core *core,
 						 const struct bytes *body,
 						 uint64_t ticket)
@@ -217,7 +220,10 @@
 	json_decref(args);
 }
 
-/* A planned stop: drain, then the order, by the one in charge. */
+/*
+ * A planned stop: the lease holder drains the backend server, then orders its
+ * stop.
+ */
 static void operator_stop(struct core *core, const struct operator_call *call)
 {
 	json_t *args = json_loadb(call->body->data, call->body->len, 0, NULL);
--- a/libfilberthall/core/outcome.c
+++ b/libfilberthall/core/outcome.c
@@ -1,6 +1,6 @@
 /*
- * How a request ended: its claim is settled, its usage counted, its spans
- * and metrics written.
+ * Handles the end of a request: settles its claim, counts its usage and writes
+ * its spans and metrics.
  */
 #include <string.h>
 
@@ -8,8 +8,8 @@
 #include "core/core_state.h"
 
 /*
- * A claim's end is worth proposing for as long as a resend may come; without
- * it the resend finds "running" until the owner is declared gone.
+ * The claim's outcome is proposed for as long as a resend may arrive; without
+ * it the resend finds "running" until the claim's owner is declared dead.
  */
 #define OUTCOME_CLAIM_TIMEOUT_US INT64_C(600000000)
 
--- a/libfilberthall/core/peers.c
+++ b/libfilberthall/core/peers.c
@@ -1,6 +1,6 @@
 /*
- * The other daemons: which links to keep, who is alive, and what the modules
- * must know of that.
+ * Links to the other daemons: which to keep, which are up, and passing that on
+ * to the modules.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -170,7 +170,7 @@
 	}
 }
 
-/* Keep a link to each member of the present configuration. */
+/* Opens and closes links to match the current membership. */
 void peers_update_links(struct core *core)
 {
 	const struct members *members = raft_members(core->raft);
@@ -190,7 +190,7 @@
 	peers_close_removed(core, members);
 }
 
-/* A live peer in another zone, to hold a copy of the usage counters. */
+/* A peer that holds a copy of the usage counters, if possible in another zone. */
 static uint64_t peers_usage_replica(const struct core *core)
 {
 	uint64_t any = 0;
@@ -207,7 +207,10 @@
 	return any;
 }
 
-/* Tell the router and the billing who lives and who leads. */
+/*
+ * Passes the leader and the reachable peers on to the router and the usage
+ * counters.
+ */
 void peers_update_router(struct core *core)
 {
 	uint64_t leader = raft_leader(core->raft);
--- a/libfilberthall/core/pending_call.c
+++ b/libfilberthall/core/pending_call.c
@@ -1,5 +1,6 @@
 /*
- * Operators' calls that wait until a change is in force on every daemon.
+ * Operators' calls that wait for the leader's answer or until a change is in
+ * force on every daemon.
  */
 #include <stdlib.h>
 
@@ -7,9 +8,9 @@
 #include "core/core_state.h"
 
 /*
- * Members that haven't been heard for longer than the staleness bound: they
- * admit nothing, so an old setting can't act there, and a change needn't wait
- * for them to be in force.
+ * Counts members without contact for longer than the staleness bound. They
+ * admit no requests, so an old setting has no effect there and a change
+ * needn't wait for them.
  */
 static size_t pending_call_stale_members(const struct core *core)
 {
@@ -56,8 +57,8 @@
 	size_t applied;
 
 	/*
-	 * The leader that a call was sent to died or was stopped with it: its
-	 * answer won't come, and the operator would wait a minute for nothing.
+	 * The leader that the call was sent to died or was stopped: its answer
+	 * won't come, and the operator would wait a minute in vain.
 	 */
 	if (waiting->ticket && raft_leader(core->raft) != waiting->leader) {
 		operator_answer(core, waiting->peer, waiting->id,
--- a/libfilberthall/core/propose.c
+++ b/libfilberthall/core/propose.c
@@ -1,19 +1,19 @@
 /*
- * Entries on their way into the log.
- *
- * Failure answered: the leader changes while an entry is on the way, or the
- * message to it is lost. Nobody tells; so an entry is sent again until it
- * comes out of the log or its time is over. Entries may therefore stand in
- * the log twice, and each kind is made so that the second does nothing:
- * operators' changes by their change id, claims and windows by the first
- * one that holds.
+ * Proposes log entries. A proposal is lost without notice if the leader
+ * changes or the message to it is lost, so an entry is sent again until it is
+ * committed or expires. The log may therefore hold an entry twice, and the
+ * second one has no effect: operators' changes are deduplicated by their
+ * change id; of claims and windows the first entry counts.
  */
 #include <stdlib.h>
 
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* Longer than a sync and two hops between zones, so few go twice. */
+/*
+ * Longer than a sync and two hops between zones, so that few entries are sent
+ * twice.
+ */
 #define PROPOSE_RETRY_US 300000
 
 static void propose_send(struct core *core, struct proposal *proposal)
@@ -73,7 +73,10 @@
 			propose_free(proposal);
 			continue;
 		}
-		/* As leader it waits in our own log, however slow the disk. */
+		/*
+		 * On the leader the entry is in its own log already, however
+		 * slow the disk.
+		 */
 		if (proposal->index && raft_is_leader(core->raft) &&
 		    proposal->term == raft_term(core->raft))
 			continue;
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -1,12 +1,11 @@
 /*
- * Callers' requests: who asks, may they, is this call one that may not be
- * repeated, and then off to the router.
- *
- * Failures answered here. A VM that is cut off doesn't hear of withdrawn
- * keys: it admits nothing once what it knows is older than the staleness
- * bound. A caller that got no answer sends a lodgement again, perhaps
- * through another VM: a claim in the log is opened before anything is sent,
- * so the second arrival finds the first.
+ * Callers' requests: authenticates and authorises the caller, opens a claim
+ * for a call that may not be repeated, and submits the request to the router.
+ * A disconnected VM doesn't learn of withdrawn keys, so it admits nothing once
+ * its state is older than the staleness bound. A caller without an answer may
+ * send a non-repeatable call again through another VM. Its claim is therefore
+ * committed to the log before anything is sent, and the second request finds
+ * it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -15,10 +14,10 @@
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* When to come back after a refusal that time will mend. */
+/* Retry-after of a refusal whose cause is temporary. */
 #define REQUEST_RETRY_SOON_MS 1000
 
-/* What the request's own headers and the settings make of it. */
+/* Result of checking a request against the settings. */
 struct request_plan {
 	const struct key *key;
 	const char *class_name;
@@ -162,7 +161,10 @@
 		request_plan_set_refusal(&plan, RESULT_KEY_UNKNOWN, NULL);
 		return plan;
 	}
-	/* The caller's word first, then the route's, then the key's. */
+	/*
+	 * Class: the caller's header, else the route's default, else the
+	 * key's.
+	 */
 	plan.class_name = asked->class_name;
 	if (asked->kind == REQUEST_SERVICE)
 		request_plan_service(core, asked, &plan);
@@ -244,7 +246,7 @@
 	request_propose(core, &op, core->now_us + REQUEST_DEADLINE_US);
 }
 
-/* What an arrival meets whose claim is held by another, or by its past. */
+/* Answers or queues a request whose claim exists already. */
 static void request_handle_claim_state(struct core *core,
 				       struct caller_request *request,
 				       enum result code)
@@ -377,7 +379,10 @@
 	request_route(core, request);
 }
 
-/* A claim left its state, or any may have (`claim_id` NULL): look again. */
+/*
+ * Checks the claims of waiting requests again after a change of one claim, or
+ * of any if `claim_id` is NULL.
+ */
 void request_claim_changed(struct core *core, const char *claim_id)
 {
 	struct caller_request *request;
@@ -427,7 +432,7 @@
 	caller_request_free(core, request);
 }
 
-/* Refuse what still waits for its claim at its deadline. */
+/* Refuses requests that still wait for their claim at their deadline. */
 void request_expire(struct core *core)
 {
 	struct caller_request *request;
--- a/libfilberthall/core/span.c
+++ b/libfilberthall/core/span.c
@@ -43,7 +43,7 @@
 
 	if (!span_has_trace(note))
 		return;
-	/* An id of zeros is none. */
+	/* An all-zero span id is invalid. */
 	id = (unsigned long long)rng_next(rng) | 1;
 	span = span_add(effects, note);
 	span->trace = xstrfmt("%.*s%016llx%s", SPAN_ID_AT, note->trace, id,
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -1,6 +1,6 @@
 /*
- * What operators and monitoring read: status, members, backend servers,
- * usage, and the views that the listeners serve.
+ * Answers of operators' read commands: status, members, backend servers and
+ * usage; and the model list and metrics that the listeners serve.
  */
 #include <inttypes.h>
 #include <stdio.h>
