--- a/libfilberthall/load/divide.c
+++ b/libfilberthall/load/divide.c
@@ -6,10 +6,10 @@
 #include "base/alloc.h"
 
 /* A pause that nobody has asked for in so long is forgotten. */
-#define PAUSE_KEPT_US INT64_C(10000000)
+#define PAUSE_RETENTION_US INT64_C(10000000)
 
 /* Pauses up to so many times the shortest are as short. */
-#define PAUSE_ALIKE 1.25
+#define PAUSE_TOLERANCE 1.25
 
 /* A prompt that is read within this part of the pause holds up no stream. */
 #define PAUSE_READ_PART 0.5
@@ -22,12 +22,13 @@
 
 void divide_init(struct divide *divide)
 {
-	*divide = (struct divide){ .share = DIVIDE_LEAST };
+	*divide = (struct divide){ .share = DIVIDE_MIN_SHARE };
 }
 
-void divide_seen(struct divide *divide, int64_t pause_us, int64_t now_us)
+void divide_record_pause(struct divide *divide, int64_t pause_us,
+			 int64_t now_us)
 {
-	bool forgotten = now_us - divide->pause_seen_us > PAUSE_KEPT_US;
+	bool forgotten = now_us - divide->pause_seen_us > PAUSE_RETENTION_US;
 
 	if (pause_us <= 0)
 		return;
@@ -46,8 +47,8 @@
 	if (!divide->pause_us)
 		return prompt < PROMPT_SHORT * query->mean_prompt;
 	return query->pause_us > 0 &&
-	       (double)query->pause_us <= PAUSE_ALIKE * pause_us &&
-	       prompt / query->rate * 1e6 < PAUSE_READ_PART * pause_us;
+	       (double)query->pause_us <= PAUSE_TOLERANCE * pause_us &&
+	       prompt / query->prefill_rate * 1e6 < PAUSE_READ_PART * pause_us;
 }
 
 static void fade(struct divide *divide, int64_t now_us)
@@ -58,7 +59,7 @@
 	divide->used_at_us = now_us;
 }
 
-void divide_used(struct divide *divide, double server_us, int64_t now_us)
+void divide_record_use(struct divide *divide, double server_us, int64_t now_us)
 {
 	fade(divide, now_us);
 	divide->used_us += server_us;
@@ -99,7 +100,7 @@
 	fade(divide, now_us);
 	share = fmax(share_by_work(divide, pool, vms),
 		     share_by_slots(divide, pool, vms));
-	share = fmax(DIVIDE_LEAST, fmin(DIVIDE_MOST, share));
+	share = fmax(DIVIDE_MIN_SHARE, fmin(DIVIDE_MAX_SHARE, share));
 	if (fabs(share - divide->share) < DIVIDE_STEP)
 		return false;
 	divide->share = share;
--- a/libfilberthall/load/divide.h
+++ b/libfilberthall/load/divide.h
@@ -46,14 +46,14 @@
 	int64_t pause_us;      /**< longest that it allows, 0 for any */
 	int64_t prompt_tokens; /**< in all */
 	double mean_prompt;    /**< of the pool's requests */
-	double rate;	       /**< prompt tokens a server reads a second */
+	double prefill_rate;   /**< prompt tokens a server reads a second */
 };
 
 /** Least part of the servers that is kept for paced streams. */
-#define DIVIDE_LEAST 0.25
+#define DIVIDE_MIN_SHARE 0.25
 
 /** Largest part: the rest must live too. */
-#define DIVIDE_MOST 0.6
+#define DIVIDE_MAX_SHARE 0.6
 
 /** Room for paced streams, in times of the work that they bring. */
 #define DIVIDE_HEADROOM 2.5
@@ -64,7 +64,8 @@
 void divide_init(struct divide *divide);
 
 /** A request that allows that pause (0 for any) has come. */
-void divide_seen(struct divide *divide, int64_t pause_us, int64_t now_us);
+void divide_record_pause(struct divide *divide, int64_t pause_us,
+			 int64_t now_us);
 
 /** Whether a request belongs on the servers kept for paced streams. */
 bool divide_is_paced(const struct divide *divide,
@@ -74,7 +75,7 @@
  * A paced stream has taken a part of a server for a while: the time to read
  * its prompt, or that of its answer by the server's slots.
  */
-void divide_used(struct divide *divide, double server_us, int64_t now_us);
+void divide_record_use(struct divide *divide, double server_us, int64_t now_us);
 
 /** A paced stream has taken a slot of a server with that many, or left it. */
 void divide_started(struct divide *divide, int64_t slots);
--- a/libfilberthall/load/place.c
+++ b/libfilberthall/load/place.c
@@ -9,7 +9,7 @@
 	return map_hash(key, sizeof(key));
 }
 
-int64_t place_unread(const struct place_query *query, bool holds)
+int64_t place_prefill_tokens(const struct place_query *query, bool holds)
 {
 	int64_t own = query->prompt_tokens - query->shared_tokens;
 
@@ -20,25 +20,27 @@
 		  const struct backend *backend, bool home, int64_t now_us)
 {
 	bool holds = home || prefix_holds(query->prefix, backend->node.hash);
-	double cost = backend_queued_prompt(backend, now_us) / query->rate;
+	double cost =
+		backend_queued_prompt(backend, now_us) / query->prefill_rate;
 	double slots = (double)(backend->slots > 0 ? backend->slots : 1);
 
 	cost += (double)(query->prompt_tokens - query->shared_tokens) /
-		query->rate;
+		query->prefill_rate;
 	if (!holds)
-		cost += PLACE_AGAIN * (double)query->shared_tokens /
-			query->rate;
+		cost += PLACE_RECOMPUTE_FACTOR * (double)query->shared_tokens /
+			query->prefill_rate;
 	/* Without prompts, as of a plain service, there is nothing to divide. */
 	if (query->divided && query->paced != backend->for_paced)
-		cost += query->paced ? PLACE_SPILL_S : PLACE_INTRUDE_S;
+		cost += query->paced ? PLACE_PACED_SPILL_S
+				     : PLACE_UNPACED_SPILL_S;
 	if (query->zone && strcmp(query->zone, backend->zone) != 0)
-		cost += PLACE_ZONE_S;
+		cost += PLACE_REMOTE_ZONE_S;
 	/* This also spreads what is equal. */
-	return cost + PLACE_FULL_S * backend_load(backend) / slots;
+	return cost + PLACE_FULL_BATCH_S * backend_load(backend) / slots;
 }
 
 /* From 0 to 1, by chance but the same for the same draw and server. */
-static double place_chance(uint64_t draw, const struct backend *backend)
+static double place_tie_break(uint64_t draw, const struct backend *backend)
 {
 	return (double)place_score(draw, backend) / (double)UINT64_MAX;
 }
@@ -72,7 +74,8 @@
 			continue;
 		cost = place_cost(query, members[i], home && members[i] == home,
 				  now_us);
-		cost += PLACE_ALIKE_S * place_chance(query->draw, members[i]);
+		cost += PLACE_TIE_S *
+			place_tie_break(query->tie_seed, members[i]);
 		if (best && cost >= best_cost)
 			continue;
 		best = members[i];
--- a/libfilberthall/load/place.h
+++ b/libfilberthall/load/place.h
@@ -22,7 +22,7 @@
  *   engine that goes moves only its own parts, and one that comes takes only
  *   what becomes its own.
  * - Another engine is taken only if the home is so far behind that reading the
- *   part anew is quicker by PLACE_AGAIN times: it also costs those who are
+ *   part anew is quicker by PLACE_RECOMPUTE_FACTOR times: it also costs those who are
  *   served there.
  * - Where several are as good, each request draws one, by its part if it has
  *   one: what spills over from a busy home then meets where the part was read.
@@ -34,22 +34,22 @@
  */
 
 /** How many times over the reading of a shared part counts where it's new. */
-#define PLACE_AGAIN 3.0
+#define PLACE_RECOMPUTE_FACTOR 3.0
 
 /** What a paced stream bears before it goes among the others, s. */
-#define PLACE_SPILL_S 0.05
+#define PLACE_PACED_SPILL_S 0.05
 
 /** What the others bear before they go among paced streams, s. */
-#define PLACE_INTRUDE_S 4.0
+#define PLACE_UNPACED_SPILL_S 4.0
 
 /** What another zone's way and bytes count for, s. */
-#define PLACE_ZONE_S 0.004
+#define PLACE_REMOTE_ZONE_S 0.004
 
 /** Servers that differ by less are as good, s. */
-#define PLACE_ALIKE_S 0.00005
+#define PLACE_TIE_S 0.00005
 
 /** What a full batch counts for against an empty one, s: it is slower. */
-#define PLACE_FULL_S 0.02
+#define PLACE_FULL_BATCH_S 0.02
 
 struct place_query {
 	uint64_t prefix_hash;  /**< of the shared parts, 0 for none */
@@ -57,9 +57,9 @@
 	int64_t prompt_tokens; /**< in all */
 	bool divided;	       /**< the pool's requests have prompts */
 	bool paced;	       /**< belongs on the engines for paced streams */
-	double rate;	       /**< prompt tokens an engine reads a second */
+	double prefill_rate;   /**< prompt tokens an engine reads a second */
 	const char *zone;      /**< own availability zone */
-	uint64_t draw;	       /**< chooses among servers that are as good */
+	uint64_t tie_seed;     /**< chooses among servers that are as good */
 	const struct prefix_entry *prefix; /**< where we sent it, or NULL */
 };
 
@@ -67,7 +67,7 @@
 uint64_t place_score(uint64_t prefix_hash, const struct backend *backend);
 
 /** Prompt tokens that the server would have to read. */
-int64_t place_unread(const struct place_query *query, bool holds);
+int64_t place_prefill_tokens(const struct place_query *query, bool holds);
 
 /**
  * What sending the request there costs, in seconds.
--- a/libfilberthall/load/retry.c
+++ b/libfilberthall/load/retry.c
@@ -9,8 +9,8 @@
 {
 	*retry = (struct retry){
 		.unlimited = !limited,
-		.budget = RETRY_LEAST,
-		.most = RETRY_LEAST,
+		.budget = RETRY_MIN_BUDGET,
+		.max_budget = RETRY_MIN_BUDGET,
 		.noted_us = now_us,
 	};
 }
@@ -30,7 +30,7 @@
 		from = step - RETRY_STEPS;
 	for (; from <= step; from++) {
 		retry->fresh[from % (RETRY_STEPS + 1)] = 0;
-		retry->again[from % (RETRY_STEPS + 1)] = 0;
+		retry->retries[from % (RETRY_STEPS + 1)] = 0;
 	}
 	if (step > retry->step)
 		retry->step = step;
@@ -46,7 +46,7 @@
  * the oldest step aren't counted and repeats are, as the window may begin
  * anywhere in it.
  */
-static bool retry_within(const struct retry *retry, int tier)
+static bool retry_window_allows(const struct retry *retry, int tier)
 {
 	const struct retry_limit *limit = &retry->limit;
 	double allowed = limit->headroom / limit->vms;
@@ -55,7 +55,7 @@
 	int i;
 
 	for (i = 0; i <= RETRY_STEPS; i++) {
-		again += retry->again[i];
+		again += retry->retries[i];
 		if (i != oldest)
 			allowed += limit->share * retry->fresh[i];
 	}
@@ -71,12 +71,12 @@
 		retry->noted_us = now_us;
 	}
 	retry->rate += 1e6 / RETRY_RATE_US;
-	retry->most = retry->rate * RETRY_SAVED_S * RETRY_SHARE;
-	if (retry->most < RETRY_LEAST)
-		retry->most = RETRY_LEAST;
+	retry->max_budget = retry->rate * RETRY_BURST_S * RETRY_SHARE;
+	if (retry->max_budget < RETRY_MIN_BUDGET)
+		retry->max_budget = RETRY_MIN_BUDGET;
 	retry->budget += RETRY_SHARE;
-	if (retry->budget > retry->most)
-		retry->budget = retry->most;
+	if (retry->budget > retry->max_budget)
+		retry->budget = retry->max_budget;
 	if (retry->limit.vms) {
 		retry_advance(retry, now_us);
 		++*retry_step(retry, retry->fresh);
@@ -105,12 +105,12 @@
 {
 	if (retry->limit.vms) {
 		retry_advance(retry, now_us);
-		if (!retry_within(retry, tier))
+		if (!retry_window_allows(retry, tier))
 			return false;
-		++*retry_step(retry, retry->again);
+		++*retry_step(retry, retry->retries);
 		return true;
 	}
-	if (retry->budget < 1 + retry->most * tier / 8)
+	if (retry->budget < 1 + retry->max_budget * tier / 8)
 		return false;
 	retry->budget -= 1;
 	return true;
@@ -127,10 +127,11 @@
 	 */
 	if (why->sent && !why->idempotent)
 		return why->code;
-	if (why->attempts >= (why->most ? why->most : RETRY_ATTEMPTS) &&
+	if (why->attempts >= (why->max_attempts ? why->max_attempts
+						: RETRY_MAX_ATTEMPTS) &&
 	    !retry->unlimited)
 		return why->code;
-	if (why->sendings >= RETRY_SENDINGS && !retry->unlimited)
+	if (why->sendings >= RETRY_MAX_SENDS && !retry->unlimited)
 		return why->code;
 	if (why->deadline_us && now_us + why->needs_us > why->deadline_us)
 		return why->code;
--- a/libfilberthall/load/retry.h
+++ b/libfilberthall/load/retry.h
@@ -31,13 +31,13 @@
 #define RETRY_SHARE 0.1
 
 /** Repeats always allowed, so that a VM with little traffic has some. */
-#define RETRY_LEAST 32.0
+#define RETRY_MIN_BUDGET 32.0
 
 /** Seconds of fresh traffic whose repeats are saved up. */
-#define RETRY_SAVED_S 10.0
+#define RETRY_BURST_S 10.0
 
 /** A request that two servers have failed is more likely cause than victim. */
-#define RETRY_ATTEMPTS 3
+#define RETRY_MAX_ATTEMPTS 3
 
 /**
  * Of a site's bound, the part that is used: VMs that come and go are counted
@@ -46,7 +46,7 @@
 #define RETRY_LIMIT_PART 0.9
 
 /** How often a request is sent at most, also where nobody ran it. */
-#define RETRY_SENDINGS 4
+#define RETRY_MAX_SENDS 4
 
 /** What a site allows for one service, over all its VMs. */
 struct retry_limit {
@@ -62,12 +62,12 @@
 struct retry {
 	bool unlimited; /**< for the ablation */
 	double budget;
-	double most; /**< that can be saved up */
-	double rate; /**< fresh requests a second, running average */
+	double max_budget; /**< that can be saved up */
+	double rate;	   /**< fresh requests a second, running average */
 	int64_t noted_us;
 	struct retry_limit limit;
 	int fresh[RETRY_STEPS + 1]; /**< by step, as a ring */
-	int again[RETRY_STEPS + 1];
+	int retries[RETRY_STEPS + 1];
 	int64_t step; /**< the newest one counted */
 };
 
@@ -75,12 +75,12 @@
 struct retry_case {
 	enum result code; /**< how the attempt ended */
 	int64_t http_status;
-	bool sent;	 /**< a byte may have left, in any attempt */
-	bool idempotent; /**< may run twice */
-	int attempts;	 /**< that may have run, so far */
-	int most;	 /**< of these; 0 for RETRY_ATTEMPTS */
-	int sendings;	 /**< all attempts so far, 0 if not known */
-	bool arrived;	 /**< one of them reached a server */
+	bool sent;	  /**< a byte may have left, in any attempt */
+	bool idempotent;  /**< may run twice */
+	int attempts;	  /**< that may have run, so far */
+	int max_attempts; /**< of these; 0 for RETRY_MAX_ATTEMPTS */
+	int sendings;	  /**< all attempts so far, 0 if not known */
+	bool arrived;	  /**< one of them reached a server */
 	int64_t deadline_us;
 	int tier;
 	int64_t needs_us; /**< estimated time of another attempt */
--- a/libfilberthall/load/router_attempt.c
+++ b/libfilberthall/load/router_attempt.c
@@ -113,17 +113,17 @@
 			     backend->node.hash);
 	if (router->options.features.homes) {
 		place = request_place(router, request);
-		attempt->prompt_tokens = place_unread(&place, holds);
+		attempt->prompt_tokens = place_prefill_tokens(&place, holds);
 		attempt->paced = place.paced;
 	} else if (holds) {
 		attempt->prompt_tokens = 0;
 	}
 	if (attempt->paced) {
 		divide_started(&pool->divide, attempt->slots);
-		divide_used(&pool->divide,
-			    1e6 * (double)attempt->prompt_tokens /
-				    pool->prefill_rate,
-			    now_us);
+		divide_record_use(&pool->divide,
+				  1e6 * (double)attempt->prompt_tokens /
+					  pool->prefill_rate,
+				  now_us);
 	}
 	backend_started(backend, attempt->prompt_tokens, attempt->work,
 			attempt->is_long, now_us);
@@ -270,10 +270,10 @@
 	if (attempt->paced)
 		divide_ended(&pool->divide, attempt->slots);
 	if (attempt->paced && attempt->first_us)
-		divide_used(&pool->divide,
-			    (double)(now_us - attempt->first_us) /
-				    (double)attempt->slots,
-			    now_us);
+		divide_record_use(&pool->divide,
+				  (double)(now_us - attempt->first_us) /
+					  (double)attempt->slots,
+				  now_us);
 	if (attempt->cancelled && attempt->cancel_code == RESULT_PREEMPTED)
 		pool->n_preempting--;
 	pool_count_attempt(attempt, pool, -1);
@@ -389,7 +389,7 @@
 		.http_status = ended->http_status,
 		.sent = request->may_have_run,
 		.idempotent = request->spec.idempotent,
-		.most = request->spec.attempts_most,
+		.max_attempts = request->spec.attempts_most,
 		.sendings = request->n_attempts,
 		.arrived = request->arrived,
 		.tier = request->tier < RULE_TIERS ? request->tier
--- a/libfilberthall/load/router_dispatch.c
+++ b/libfilberthall/load/router_dispatch.c
@@ -143,7 +143,7 @@
 		.pause_us = request->class->rule.pause_us,
 		.prompt_tokens = request->spec.prompt_tokens,
 		.mean_prompt = pool->mean_prompt,
-		.rate = pool->prefill_rate,
+		.prefill_rate = pool->prefill_rate,
 	};
 	struct place_query query = {
 		.prefix_hash = request->spec.prefix_hash,
@@ -151,7 +151,7 @@
 		.prompt_tokens = request->spec.prompt_tokens,
 		.divided = pool->mean_prompt > 0,
 		.paced = divide_is_paced(&pool->divide, &side),
-		.rate = pool->prefill_rate,
+		.prefill_rate = pool->prefill_rate,
 		.zone = router->zone,
 		.prefix =
 			prefix_find(&router->prefix, request->spec.prefix_hash),
@@ -186,8 +186,8 @@
 		query.prefix =
 			prefix_find(&router->prefix, request->spec.prefix_hash);
 	query.place = request_place(router, request);
-	query.place.draw = query.place.prefix_hash ? query.place.prefix_hash
-						   : rng_next(&router->rng);
+	query.place.tie_seed = query.place.prefix_hash ? query.place.prefix_hash
+						       : rng_next(&router->rng);
 	for (tier = 0; request->is_long && tier <= request->tier; tier++)
 		query.cap_long |= now_us - pool->pressure[tier].last_short_us <
 				  DISPATCH_SHORT_US;
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -464,7 +464,8 @@
 	if (ask->prompt_tokens)
 		pool_record_prompt(pool, ask->prompt_tokens);
 	if (ask->stream)
-		divide_seen(&pool->divide, class->rule.pause_us, now_us);
+		divide_record_pause(&pool->divide, class->rule.pause_us,
+				    now_us);
 	request->is_long = log(request->entry.cost) >
 			   log(SUBMIT_LONG_RATIO) + pool->mean_log_cost;
 	retry_fresh(&pool->retry, now_us);
--- a/tests/load/t-divide.c
+++ b/tests/load/t-divide.c
@@ -15,9 +15,9 @@
 
 static void all_come(struct divide *divide, int64_t now_us)
 {
-	divide_seen(divide, score.pause_us, now_us);
-	divide_seen(divide, cue.pause_us, now_us);
-	divide_seen(divide, coach.pause_us, now_us);
+	divide_record_pause(divide, score.pause_us, now_us);
+	divide_record_pause(divide, cue.pause_us, now_us);
+	divide_record_pause(divide, coach.pause_us, now_us);
 }
 
 /*
@@ -74,9 +74,9 @@
 
 	divide_init(&divide);
 	all_come(&divide, SECOND);
-	divide_seen(&divide, coach.pause_us, 5 * SECOND);
+	divide_record_pause(&divide, coach.pause_us, 5 * SECOND);
 	g_assert_false(divide_is_paced(&divide, &coach));
-	divide_seen(&divide, coach.pause_us, 12 * SECOND);
+	divide_record_pause(&divide, coach.pause_us, 12 * SECOND);
 	g_assert_true(divide_is_paced(&divide, &coach));
 }
 
@@ -89,8 +89,8 @@
 	int64_t now_us;
 
 	for (now_us = from_us; now_us < from_us + for_us; now_us += every_us) {
-		divide_used(divide, 1e6 * 700 / 30000, now_us);
-		divide_used(divide, 2e6 / 24, now_us);
+		divide_record_use(divide, 1e6 * 700 / 30000, now_us);
+		divide_record_use(divide, 2e6 / 24, now_us);
 		divide_adjust(divide, &pool, now_us);
 	}
 }
@@ -106,12 +106,12 @@
 
 	divide_init(&divide);
 	play(&divide, ENGINES, 90, SECOND, 10 * SECOND);
-	g_assert_cmpfloat(divide.share, ==, DIVIDE_LEAST);
+	g_assert_cmpfloat(divide.share, ==, DIVIDE_MIN_SHARE);
 	play(&divide, ENGINES_LEFT, 360, 11 * SECOND, 6 * SECOND);
-	g_assert_cmpfloat(divide.share, >, DIVIDE_MOST - DIVIDE_STEP);
-	g_assert_cmpfloat(divide.share, <=, DIVIDE_MOST);
+	g_assert_cmpfloat(divide.share, >, DIVIDE_MAX_SHARE - DIVIDE_STEP);
+	g_assert_cmpfloat(divide.share, <=, DIVIDE_MAX_SHARE);
 	play(&divide, ENGINES, 90, 17 * SECOND, 20 * SECOND);
-	g_assert_cmpfloat(divide.share, <, DIVIDE_LEAST + DIVIDE_STEP);
+	g_assert_cmpfloat(divide.share, <, DIVIDE_MIN_SHARE + DIVIDE_STEP);
 }
 
 #define SLOTS 24
@@ -132,7 +132,7 @@
 	divide_init(&divide);
 	for (i = 0; i < BURST_OF_VM; i++) {
 		divide_started(&divide, SLOTS);
-		divide_used(&divide, 1e6 * 700 / 30000, SECOND);
+		divide_record_use(&divide, 1e6 * 700 / 30000, SECOND);
 	}
 	g_assert_true(divide_adjust(&divide, &pool, SECOND));
 	g_assert_cmpfloat(divide.share * ENGINES_LEFT * SLOTS, >,
@@ -140,7 +140,7 @@
 	for (i = 0; i < BURST_OF_VM; i++)
 		divide_ended(&divide, SLOTS);
 	g_assert_true(divide_adjust(&divide, &pool, 2 * SECOND));
-	g_assert_cmpfloat(divide.share, ==, DIVIDE_LEAST);
+	g_assert_cmpfloat(divide.share, ==, DIVIDE_MIN_SHARE);
 }
 
 /* A VM that sees no cues at all leaves a quarter to those of the others. */
@@ -152,7 +152,7 @@
 
 	divide_init(&divide);
 	g_assert_false(divide_adjust(&divide, &pool, 60 * SECOND));
-	g_assert_cmpfloat(divide.share, ==, DIVIDE_LEAST);
+	g_assert_cmpfloat(divide.share, ==, DIVIDE_MIN_SHARE);
 	g_assert_false(divide_adjust(&divide, &none, 60 * SECOND));
 }
 
--- a/tests/load/t-place.c
+++ b/tests/load/t-place.c
@@ -60,7 +60,7 @@
 		.shared_tokens = 13300,
 		.prompt_tokens = 17000,
 		.divided = true,
-		.rate = 100000,
+		.prefill_rate = 100000,
 	};
 
 	return query;
@@ -72,7 +72,7 @@
 		.prompt_tokens = 1400,
 		.divided = true,
 		.paced = true,
-		.rate = 100000,
+		.prefill_rate = 100000,
 	};
 
 	return query;
@@ -217,7 +217,7 @@
  */
 static void test_plain(void)
 {
-	struct place_query query = { .rate = 100000 };
+	struct place_query query = { .prefill_rate = 100000 };
 	struct pool pool;
 	int i;
 
@@ -232,14 +232,14 @@
 /* Second tries of all VMs met on one of six servers that were as good. */
 static void test_equals(void)
 {
-	struct place_query query = { .rate = 100000, .zone = "z2" };
+	struct place_query query = { .prefill_rate = 100000, .zone = "z2" };
 	struct rng rng = { 1 };
 	struct pool pool;
 	int i;
 
 	pool_start(&pool, 6);
 	for (i = 0; i < 1200; i++) {
-		query.draw = rng_next(&rng);
+		query.tie_seed = rng_next(&rng);
 		choose(&pool, &query)->slots++;
 	}
 	for (i = 0; i < 6; i++) {
--- a/tests/load/t-retry.c
+++ b/tests/load/t-retry.c
@@ -43,7 +43,7 @@
 		.arrived = true,
 		.attempts = 1,
 		.sendings = 1,
-		.most = 2,
+		.max_attempts = 2,
 	};
 
 	retry_fresh(vm, now_us);
