--- a/libfilberthall/core/core.c
+++ b/libfilberthall/core/core.c
@@ -265,7 +265,7 @@
 		core_tick(core, &event->u.tick);
 		break;
 	case EVENT_REQUEST:
-		request_take(core, event);
+		request_arrived(core, event);
 		return; /* the request keeps its event */
 	case EVENT_CALLER_LEFT:
 		request_caller_left(core, event->u.caller_left.id);
--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -32,13 +32,13 @@
 #define CORE_FIRST_CLAIM_OWNER(incarnation) ((uint64_t)(incarnation) << 16)
 
 /** A class without a deadline must still end somewhere. */
-#define REQUEST_DEADLINE_US INT64_C(600000000)
+#define REQUEST_MAX_DEADLINE_US INT64_C(600000000)
 
 /** How far a caller's request has come. */
 enum request_state {
-	REQUEST_CLAIMING,     /**< its claim is on the way to the log */
-	REQUEST_AWAITS_CLAIM, /**< another arrival of it is running */
-	REQUEST_ROUTED,	      /**< with the router */
+	REQUEST_CLAIMING,	/**< its claim is on the way to the log */
+	REQUEST_AWAITING_CLAIM, /**< another arrival of it is running */
+	REQUEST_ROUTED,		/**< with the router */
 };
 
 struct caller_request {
@@ -55,7 +55,7 @@
 	bool caller_left;
 	int64_t arrived_us;
 	int64_t deadline_us;
-	int64_t claim_done_us; /**< when the claim was granted, 0 if none */
+	int64_t claim_granted_us; /**< when the claim was granted, 0 if none */
 };
 
 /** Another daemon. */
@@ -138,7 +138,7 @@
 };
 
 /* request.c: callers' requests */
-void request_take(struct core *core, struct event *event);
+void request_arrived(struct core *core, struct event *event);
 void request_caller_left(struct core *core, uint64_t id);
 void request_claim_outcome(struct core *core,
 			   const struct claim_outcome *outcome);
@@ -147,8 +147,8 @@
 void request_expire(struct core *core);
 struct caller_request *caller_request_find(struct core *core, uint64_t id);
 void caller_request_free(struct core *core, struct caller_request *request);
-void request_propose(struct core *core, struct claim_op *op,
-		     int64_t give_up_us);
+void request_propose_claim(struct core *core, struct claim_op *op,
+			   int64_t give_up_us);
 void request_free_all(struct core *core);
 
 /* outcome.c: how requests ended */
--- a/libfilberthall/core/outcome.c
+++ b/libfilberthall/core/outcome.c
@@ -31,7 +31,8 @@
 		op.body = outcome->answer ? outcome->answer->data : NULL;
 		op.body_len = outcome->answer ? outcome->answer->len : 0;
 	}
-	request_propose(core, &op, core->now_us + OUTCOME_CLAIM_TIMEOUT_US);
+	request_propose_claim(core, &op,
+			      core->now_us + OUTCOME_CLAIM_TIMEOUT_US);
 }
 
 static void outcome_count_usage(struct core *core,
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -15,7 +15,7 @@
 #include "core/core_state.h"
 
 /* Retry-after of a refusal whose cause is temporary. */
-#define REQUEST_RETRY_SOON_MS 1000
+#define REQUEST_RETRY_AFTER_MS 1000
 
 /* Result of checking a request against the settings. */
 struct request_plan {
@@ -209,7 +209,8 @@
 	router_submit(core->router, &routed, core->now_us, core->effects);
 }
 
-void request_propose(struct core *core, struct claim_op *op, int64_t give_up_us)
+void request_propose_claim(struct core *core, struct claim_op *op,
+			   int64_t give_up_us)
 {
 	struct entry_head head = consensus_head(core);
 	struct bytes entry = { 0 };
@@ -232,18 +233,19 @@
 	memcpy(op.id, request->claim_id, sizeof(op.id));
 	op.body_hash = asked->body_hash;
 	op.sending = true;
-	request_propose(core, &op, request->deadline_us);
+	request_propose_claim(core, &op, request->deadline_us);
 }
 
-static void request_unclaim(struct core *core, const char *claim_id,
-			    uint64_t ticket)
+static void request_release_claim(struct core *core, const char *claim_id,
+				  uint64_t ticket)
 {
 	struct claim_op op = { 0 };
 
 	op.verb = CLAIM_VERB_RELEASE;
 	op.ticket = ticket;
 	memcpy(op.id, claim_id, sizeof(op.id));
-	request_propose(core, &op, core->now_us + REQUEST_DEADLINE_US);
+	request_propose_claim(core, &op,
+			      core->now_us + REQUEST_MAX_DEADLINE_US);
 }
 
 /* Answers or queues a request whose claim exists already. */
@@ -261,7 +263,7 @@
 		caller_request_free(core, request);
 		break;
 	case RESULT_CLAIM_RUNNING:
-		request->state = REQUEST_AWAITS_CLAIM;
+		request->state = REQUEST_AWAITING_CLAIM;
 		list_remove(&request->claim_waiters_node);
 		list_append(&core->claim_waiters, &request->claim_waiters_node);
 		break;
@@ -277,13 +279,14 @@
 		request_refuse(core, request, code, 0, NULL);
 		break;
 	default:
-		request_refuse(core, request, code, REQUEST_RETRY_SOON_MS,
+		request_refuse(core, request, code, REQUEST_RETRY_AFTER_MS,
 			       NULL);
 		break;
 	}
 }
 
-static void request_probe(struct core *core, struct caller_request *request)
+static void request_check_claim(struct core *core,
+				struct caller_request *request)
 {
 	enum result code;
 
@@ -300,7 +303,7 @@
 				const char *class_name)
 {
 	const struct class_rule *rule;
-	int64_t us = REQUEST_DEADLINE_US;
+	int64_t us = REQUEST_MAX_DEADLINE_US;
 
 	rule = rules_class(agreed_settings(core->agreed), class_name);
 	if (rule && rule->deadline_us)
@@ -310,7 +313,7 @@
 	return core->now_us + us;
 }
 
-void request_take(struct core *core, struct event *event)
+void request_arrived(struct core *core, struct event *event)
 {
 	struct caller_request *request = xcalloc(1, sizeof(*request));
 	const struct event_request *asked = &event->u.request;
@@ -325,7 +328,7 @@
 		request_refuse(core, request,
 			       core->stop_deadline_us ? RESULT_STOPPING
 						      : RESULT_STALE,
-			       REQUEST_RETRY_SOON_MS, NULL);
+			       REQUEST_RETRY_AFTER_MS, NULL);
 		return;
 	}
 	plan = request_plan(core, asked);
@@ -346,7 +349,7 @@
 	}
 	claim_id(request->claim_id, request->organisation,
 		 asked->service ? asked->service : "", plan.dedup_key);
-	request_probe(core, request);
+	request_check_claim(core, request);
 }
 
 void request_claim_outcome(struct core *core,
@@ -366,7 +369,8 @@
 		 * second copy of the same entry finds the request routed.
 		 */
 		if (!outcome->code && !request)
-			request_unclaim(core, outcome->id, outcome->ticket);
+			request_release_claim(core, outcome->id,
+					      outcome->ticket);
 		return;
 	}
 	if (outcome->code) {
@@ -375,7 +379,7 @@
 	}
 	answer_span(core, request, "claim", request->arrived_us, RESULT_OK,
 		    NULL);
-	request->claim_done_us = core->now_us;
+	request->claim_granted_us = core->now_us;
 	request_route(core, request);
 }
 
@@ -390,9 +394,9 @@
 
 	list_foreach_safe(request, next, &core->claim_waiters,
 			  claim_waiters_node)
-		if (request->state == REQUEST_AWAITS_CLAIM &&
+		if (request->state == REQUEST_AWAITING_CLAIM &&
 		    (!claim_id || !strcmp(request->claim_id, claim_id)))
-			request_probe(core, request);
+			request_check_claim(core, request);
 }
 
 void request_withdraw_key(struct core *core, const char *key_id)
@@ -442,12 +446,13 @@
 			  claim_waiters_node) {
 		if (request->deadline_us > core->now_us)
 			continue;
-		if (request->state == REQUEST_AWAITS_CLAIM)
+		if (request->state == REQUEST_AWAITING_CLAIM)
 			answer_refuse(core, request, RESULT_CLAIM_RUNNING,
-				      RUN_UNKNOWN, REQUEST_RETRY_SOON_MS, NULL);
+				      RUN_UNKNOWN, REQUEST_RETRY_AFTER_MS,
+				      NULL);
 		else
 			answer_refuse(core, request, RESULT_NO_QUORUM, RUN_NOT,
-				      REQUEST_RETRY_SOON_MS, NULL);
+				      REQUEST_RETRY_AFTER_MS, NULL);
 		caller_request_free(core, request);
 	}
 }
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -206,7 +206,7 @@
 			 "rows", rows, "committed", committed);
 }
 
-static bool status_lists_model(const json_t *list, const char *model)
+static bool status_has_model(const json_t *list, const char *model)
 {
 	size_t i;
 	json_t *row;
@@ -228,7 +228,7 @@
 
 	map_foreach(backend, next, &core->fleet.backends, node)
 		if (backend->model[0] &&
-		    !status_lists_model(list, backend->model))
+		    !status_has_model(list, backend->model))
 			json_array_append_new(list,
 					      json_pack("{s:s, s:s, s:s}", "id",
 							backend->model,
