--- a/libfilberthall/core/core.h
+++ b/libfilberthall/core/core.h
@@ -11,16 +11,16 @@
 #include "core/event.h"
 
 /**
- * The one reducer of a daemon: takes an event and the present time, changes
- * its state, and says what is to be done as effects. It reads no clock, no
- * file and no socket, so a recorded run replays to the same effects.
- *
- * The state is made of the modules: who may send (agree/), what runs where
- * (load/, fleet/), what is billed (usage/). The reducer only joins them.
+ * The reducer of a daemon: takes an event and the current time, changes its
+ * state and returns effects for other threads to carry out. It reads no clock,
+ * no file and no socket, so a recorded run replays to the same effects. The
+ * state belongs to the modules: replicated settings and keys (agree/), routing
+ * (load/), backend servers (fleet/) and billing (usage/). The reducer only
+ * connects them.
  */
 struct core;
 
-/** What a daemon knows at its start. All text is copied. */
+/** Options of a daemon's start. All text is copied. */
 struct core_options {
 	uint64_t self;	     /**< member id */
 	int64_t incarnation; /**< number of this start */
@@ -49,13 +49,14 @@
 void core_free(struct core *core);
 
 /**
- * Take one event over, at monotonic time `now_us`, which never goes back.
- * What is to be done is appended to `effects`, in order.
+ * Process one event, which the core then owns, at monotonic time `now_us`,
+ * which never goes back. Resulting effects are appended to `effects`, in
+ * order.
  */
 void core_step(struct core *core, struct event *event, int64_t now_us,
 	       struct effects *effects);
 
-/** When the next tick is wanted at the latest. */
+/** The latest time at which the next tick is needed. */
 int64_t core_next_tick(const struct core *core, int64_t now_us);
 
 /** Options and saved state as one line of JSON: a recording's first line. */
--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -20,21 +20,21 @@
 #include "usage/report.h"
 
 /**
- * State of the reducer and what its parts call of each other. Internal to
- * core/.
+ * State of the reducer and the functions that its source files call of each
+ * other. Internal to core/.
  */
 
 /**
  * Claims are opened under an owner number: the daemon's incarnation with a
- * counter behind it, so that one that was taken for dead and lives gets a new
+ * counter in its low bits, so that a daemon wrongly considered dead gets a new
  * number without a restart.
  */
 #define CORE_FIRST_CLAIM_OWNER(incarnation) ((uint64_t)(incarnation) << 16)
 
-/** A class without a deadline must still end somewhere. */
+/** Deadline of requests whose class has none. */
 #define REQUEST_MAX_DEADLINE_US INT64_C(600000000)
 
-/** How far a caller's request has come. */
+/** Progress of a caller's request. */
 enum request_state {
 	REQUEST_CLAIMING,	/**< its claim is on the way to the log */
 	REQUEST_AWAITING_CLAIM, /**< another arrival of it is running */
--- a/libfilberthall/core/effect.h
+++ b/libfilberthall/core/effect.h
@@ -10,9 +10,9 @@
 #include "core/field.h"
 
 /**
- * Everything the reducer can ask for, as data. The core thread hands effects
- * to the edge and disk threads in the order they were made. An effect owns
- * its text and bytes.
+ * Actions that the reducer requests. The core thread passes effects to the
+ * edge and disk threads in the order they were added. An effect owns its text
+ * and bytes.
  */
 #define EFFECT_TABLE(X)                               \
 	X(ANSWER, answer, "answer")                   \
@@ -77,7 +77,10 @@
 	int64_t attempt;
 };
 
-/** Close idle pooled connections to an address: its path may be dead. */
+/**
+ * Close idle pooled connections to an address, whose network path may be
+ * broken.
+ */
 struct effect_distrust {
 	char *address;
 };
@@ -136,7 +139,7 @@
 	struct bytes body; /**< JSON */
 };
 
-/** Read the document in force, away from the reducer's thread. */
+/** Parse the current settings document outside the reducer's thread. */
 struct effect_read_document {
 	int64_t version;
 	struct bytes text;
@@ -162,7 +165,7 @@
 	struct bytes body; /**< JSON arguments */
 };
 
-/** What the edge threads look up changed; take a new view of it. */
+/** State that the edge threads look up has changed; replaces their view. */
 struct effect_publish {
 	bool healthy;	      /**< what /healthz says */
 	struct bytes models;  /**< JSON answer of GET /v1/models */
@@ -192,7 +195,7 @@
 	char *class_name;
 };
 
-/** Streams are whole and all is written: the process may end. */
+/** All streams have ended and all is written: the process may exit. */
 struct effect_exit {
 	int64_t status;
 };
@@ -224,7 +227,7 @@
 	} u;
 };
 
-/** Effects in the order they were made. */
+/** Effects in the order they were added. */
 struct effects {
 	struct list head;
 };
--- a/libfilberthall/core/event.h
+++ b/libfilberthall/core/event.h
@@ -48,12 +48,15 @@
 	REQUEST_SERVICE	    /**< /service/NAME/... */
 };
 
-/** A timer ran out; decides nothing but lets time pass. */
+/** Time has passed; the reducer's periodic work runs. */
 struct event_tick {
 	int64_t wall_us; /**< wall clock, microseconds since 1970 */
 };
 
-/** A caller's request has been read whole. Its body stays at the edge. */
+/**
+ * A caller's request has been read completely. Its body stays with the edge
+ * thread.
+ */
 struct event_request {
 	uint64_t id;	       /**< unique in this daemon's life */
 	int64_t kind;	       /**< enum request_kind */
@@ -74,7 +77,7 @@
 	bool stream;	       /**< server-sent events wanted */
 };
 
-/** The caller's connection is gone. */
+/** The caller has disconnected. */
 struct event_caller_left {
 	uint64_t id;
 };
@@ -85,7 +88,7 @@
 	int64_t attempt;
 };
 
-/** Tokens have come; the first one has first = true. */
+/** Tokens have arrived; `first` is set for the first one. */
 struct event_attempt_tokens {
 	uint64_t id;
 	int64_t attempt;
@@ -141,7 +144,7 @@
 	bool held;
 };
 
-/** A link to another daemon stands. */
+/** A link to another daemon has been established. */
 struct event_link_up {
 	uint64_t peer; /**< member id */
 	char *name;    /**< VM name */
@@ -176,7 +179,7 @@
 	int64_t ticket;
 };
 
-/** A write or sync failed; nothing after the last ticket is promised. */
+/** A write or sync failed; writes after the last ticket may be lost. */
 struct event_disk_failed {
 	int64_t code; /**< enum result */
 };
--- a/libfilberthall/core/metrics.h
+++ b/libfilberthall/core/metrics.h
@@ -11,10 +11,9 @@
 #include "load/router.h"
 
 /**
- * Own counters of what callers received, by class and by organisation.
- *
- * Cardinality is bounded: classes are few, and of organisations the text for
- * Prometheus shows only the worst served, since 4,500 of them times the
+ * This daemon's counters of request results, by class and by organisation.
+ * Cardinality is bounded: classes are few, and of the organisations only the
+ * worst served is exported to Prometheus, since 4,500 of them times the
  * counters would make each scrape megabytes long.
  */
 #define METRICS_CODES 64
@@ -63,7 +62,7 @@
 void metrics_count(struct metrics *metrics,
 		   const struct router_outcome *outcome);
 
-/** Count a refusal that never reached the router. */
+/** Count a request refused before it reached the router. */
 void metrics_count_refusal(struct metrics *metrics, const char *class_name,
 			   const char *organisation, enum result code);
 
@@ -71,7 +70,7 @@
 const struct metrics_organisation *
 metrics_worst_organisation(const struct metrics *metrics);
 
-/** Append the text for Prometheus. */
+/** Append the metrics in Prometheus' text format. */
 void metrics_write(const struct metrics *metrics, struct bytes *out);
 
 /** The class's counters, or NULL. */
--- a/libfilberthall/core/pack.h
+++ b/libfilberthall/core/pack.h
@@ -17,7 +17,7 @@
 void pack_text(msgpack_packer *packer, const char *text);
 void pack_bytes(msgpack_packer *packer, const void *data, size_t len);
 
-/** A message that was read; its items point into the unpacked zone. */
+/** A decoded message; its items point into msgpack's memory zone. */
 struct unpacked {
 	msgpack_unpacked message;
 	const msgpack_object *items;
--- a/libfilberthall/core/prompt.h
+++ b/libfilberthall/core/prompt.h
@@ -12,7 +12,7 @@
 /** Bytes of the prompt's start that make up its prefix. */
 #define PROMPT_PREFIX_BYTES 1024
 
-/** What the router must know of a completion's JSON body. */
+/** Fields of a completion's JSON body that routing needs. */
 struct prompt {
 	char *model;   /**< before the first ':' */
 	char *adapter; /**< after it, or NULL */
--- a/libfilberthall/core/recording.c
+++ b/libfilberthall/core/recording.c
@@ -1,6 +1,6 @@
 /*
- * The first line of a recording: what a core was started with, so that replay
- * starts from the same state.
+ * The first line of a recording: the core's options and saved state, so that
+ * replay starts from the same state.
  */
 #include <jansson.h>
 #include <stdlib.h>
--- a/libfilberthall/core/rule.h
+++ b/libfilberthall/core/rule.h
@@ -7,9 +7,10 @@
 #include "base/list.h"
 
 /**
- * Typed views of what operators set under their team's path. agree/settings
- * builds them from the settings tree and checks each value against its
- * schema; the other modules only read them. Names are unique in the site.
+ * Typed settings of a team's classes, organisations, services and keys.
+ * agree/settings builds them from the settings tree and checks each value
+ * against its schema; the other modules only read them. Names are unique in
+ * the site.
  */
 
 #define RULE_NAME_SIZE 64
@@ -66,7 +67,7 @@
 	struct route_rule routes[RULE_ROUTES];
 };
 
-/** What a key permits. */
+/** Permissions and limits of a key. */
 struct key_rule {
 	char id[RULE_NAME_SIZE];
 	char hash[65]; /**< keyed hash of the secret, hex */
--- a/libfilberthall/core/span.c
+++ b/libfilberthall/core/span.c
@@ -9,7 +9,7 @@
 #define SPAN_ID_AT 36
 #define SPAN_ID_LENGTH 16
 
-/* A caller without a usable traceparent got one at the edge. */
+/* The edge replaces a missing or invalid traceparent of the caller. */
 static bool span_has_trace(const struct span_info *note)
 {
 	return note->trace && strlen(note->trace) == SPAN_TRACE_LENGTH;
--- a/libfilberthall/core/span.h
+++ b/libfilberthall/core/span.h
@@ -19,10 +19,10 @@
 	const char *detail; /**< or NULL */
 };
 
-/** The edge's own span, the root on this VM. */
+/** Add the edge's span, the root of a request's spans on this VM. */
 void span_root(struct effects *effects, const struct span_info *note);
 
-/** A span below the edge's, with an id drawn from `rng`. */
+/** Add a child of the edge's span, with an id drawn from `rng`. */
 void span_child(struct effects *effects, struct rng *rng,
 		const struct span_info *note);
 
--- a/tests/core/site.h
+++ b/tests/core/site.h
@@ -8,10 +8,10 @@
 #include "core/core.h"
 
 /**
- * Some daemons' cores in one process, for tests of what they do together.
- * Effects between them are carried at once; disks sync at once unless held;
- * time moves in steps of 10 ms. Effects for the edges are kept to be looked
- * at. No sockets, no threads, no files.
+ * Runs the cores of several daemons in one process. Messages between them are
+ * delivered at once; disks sync at once unless held; time advances in steps of
+ * 10 ms. Effects for the edges are kept for the test to inspect. No sockets,
+ * no threads, no files.
  */
 #define SITE_MAX 5
 #define SITE_KEY \
@@ -45,13 +45,13 @@
 void site_start(struct site *site, int n, const char *settings);
 void site_free(struct site *site);
 
-/** Let time pass. */
+/** Advance time. */
 void site_run(struct site *site, int64_t ms);
 
-/** Give one daemon an event now. */
+/** Deliver an event to one daemon now. */
 void site_give(struct site *site, int daemon, struct event *event);
 
-/** Cut one daemon off from all others, or mend it. */
+/** Cut one daemon off from all others, or reconnect it. */
 void site_cut(struct site *site, int daemon, bool cut);
 
 /** Announce an engine or service (model NULL) to one daemon. */
--- a/tests/core/t-demand.c
+++ b/tests/core/t-demand.c
@@ -56,7 +56,7 @@
 	g_assert_cmpint(demand_read(demand, 2, b.data, b.len, 0, test_served,
 				    served),
 			==, RESULT_OK);
-	/* The same daemon again replaces what it said. */
+	/* A daemon's second report replaces its first. */
 	g_assert_cmpint(demand_read(demand, 1, a.data, a.len, 0, test_served,
 				    served),
 			==, RESULT_OK);
@@ -73,8 +73,8 @@
 }
 
 /*
- * A daemon dies under load. What it last said must not be planned for: the
- * platform would bill servers for requests that nobody sends.
+ * A daemon dies under load. Its last report must expire; otherwise backend
+ * servers would be started, and billed, for requests that nobody sends.
  */
 static void demand_of_a_dead_daemon_fades(void)
 {
--- a/tests/core/t-site-usage.c
+++ b/tests/core/t-site-usage.c
@@ -9,7 +9,7 @@
 	"\"team/calves/class/check\":{\"tier\":1,\"deadline_ms\":60000}," \
 	"\"team/calves/organisation/yards\":{}}"
 
-/* Ask for one completion and let it end with five tokens. */
+/* Runs one completion of five tokens. */
 static void test_serve(struct site *site, int daemon)
 {
 	uint64_t id = site_chat(site, daemon, NULL);
@@ -18,7 +18,10 @@
 	site_end_attempt(site, daemon, id, 1, RESULT_OK, NULL);
 }
 
-/* Run and play a platform that takes each report; returns tokens billed. */
+/*
+ * Runs the site with a platform that accepts each report; returns tokens
+ * billed.
+ */
 static int64_t test_run_platform(struct site *site, int64_t ms)
 {
 	int64_t tokens = 0;
@@ -37,9 +40,9 @@
 }
 
 /*
- * The VM in charge dies right after requests on all VMs, before their window
- * was reported. The next one must bill what the other two served, at once or
- * as a correction, and once.
+ * The leader's VM dies right after requests on all VMs, before their window is
+ * reported. The next leader must bill what the other two VMs served exactly
+ * once, in the window or as a correction.
  */
 static void usage_outlives_the_vm_in_charge(void)
 {
--- a/tests/core/t-site.c
+++ b/tests/core/t-site.c
@@ -61,9 +61,9 @@
 }
 
 /*
- * An agent lodges a calf movement, gets no answer and sends it again through
- * another VM while the first one still runs, and once more afterwards. The
- * register must see it once, and all three must get its answer.
+ * A non-repeatable call is sent again through another VM while the first one
+ * still runs, and once more afterwards. The service must receive it once, and
+ * all three requests must get its answer.
  */
 static void a_lodgement_sent_again_elsewhere_runs_once(void)
 {
@@ -94,9 +94,9 @@
 }
 
 /*
- * The VM that sent a lodgement dies before the answer came. Nobody can know
- * whether the register took it: a resend through another VM must be told
- * "unknown", and must not run it.
+ * The VM that sent a non-repeatable call dies before the answer arrives, so
+ * its outcome is unknown. A resend through another VM must be answered
+ * "unknown" and must not be sent.
  */
 static void a_lodgement_whose_vm_died_is_unknown(void)
 {
@@ -122,7 +122,7 @@
 }
 
 /*
- * Two VMs get the same lodgement at the same moment, from a caller that
+ * Two VMs receive the same non-repeatable call at once, from a caller that
  * hedges. Only one of them may send it.
  */
 static void two_arrivals_at_once_run_once(void)
@@ -172,8 +172,8 @@
 }
 
 /*
- * A VM is cut off silently. The key is withdrawn meanwhile, which it can't
- * hear: it must admit nothing soon after, and say so to the balancer.
+ * A VM loses its links without notice, so it doesn't learn of withdrawn keys.
+ * It must soon admit nothing and fail its health check.
  */
 static void a_vm_cut_off_admits_nothing(void)
 {
@@ -205,8 +205,8 @@
 }
 
 /*
- * Two operators change the same class from the same version at once through
- * two VMs. One must win and the other must be told, not overwritten.
+ * Two operators change the same class from the same version through two VMs.
+ * The first change must be accepted and the second refused with a conflict.
  */
 static void operators_racing_on_one_version(void)
 {
@@ -238,8 +238,9 @@
 }
 
 /*
- * An operator's answer is lost and the change is sent again, with its change
- * id, to another VM. It must be told "accepted", and nothing may change twice.
+ * The answer to a change is lost and the change is sent again to another VM
+ * with the same change id. It must be answered as accepted and not applied
+ * twice.
  */
 static void a_change_sent_again_is_made_once(void)
 {
@@ -261,8 +262,8 @@
 }
 
 /*
- * The leader's VM dies. Within seconds another leads, and changes and
- * requests go on.
+ * The leader's VM dies. Within seconds another VM must lead and accept changes
+ * and requests.
  */
 static void the_leader_dies_and_work_goes_on(void)
 {
@@ -286,8 +287,8 @@
 }
 
 /*
- * A planned stop under a stream: the health check must fail at once, the
- * stream must end whole, and only then may the process exit.
+ * A planned stop during a stream: new requests must be refused at once, the
+ * stream must complete, and only then may the process exit.
  */
 static void a_planned_stop_cuts_no_stream(void)
 {
@@ -315,7 +316,7 @@
 	site_free(&site);
 }
 
-/* Each command on a VM that leads and on one that doesn't. */
+/* Runs each command on the leader and on the other VMs. */
 static void operators_commands_answer_on_any_vm(void)
 {
 	static const struct {
@@ -394,9 +395,8 @@
 }
 
 /*
- * A VM is asked to stop while a long critique streams, and asked again by an
- * operator who can't wait. The first time the stream goes on; the second time
- * the process ends.
+ * A VM is asked to stop during a long stream, and asked again. After the first
+ * request the stream must continue; after the second the process must exit.
  */
 static void a_second_request_to_stop_is_final(void)
 {
@@ -420,9 +420,9 @@
 }
 
 /*
- * An operator's call goes to the leader, which is stopped at that moment. The
- * operator must be told to send it again as soon as another one leads, not
- * after a minute.
+ * An operator's call is forwarded to a leader that has just stopped. The call
+ * must be answered "not leader" as soon as another VM leads, not after a
+ * minute.
  */
 static void a_call_to_a_stopped_leader_ends(void)
 {
