--- a/libfilberthall/agree/raft.c
+++ b/libfilberthall/agree/raft.c
@@ -47,17 +47,17 @@
 	bool forgetful = options->mutant == RAFT_MUTANT_NO_RESTART_WAIT;
 
 	raft->options = *options;
-	if (raft->options.max_inflight > RAFT_MAX_FLIGHT)
-		raft->options.max_inflight = RAFT_MAX_FLIGHT;
+	if (raft->options.max_inflight > RAFT_MAX_INFLIGHT)
+		raft->options.max_inflight = RAFT_MAX_INFLIGHT;
 	raft->rng.state = options->seed;
 	raft_log_reset(&raft->log, 0, 0);
 	list_init(&raft->tickets);
-	list_init(&raft->waiting);
+	list_init(&raft->deferred);
 	list_init(&raft->peers);
 	map_init(&raft->peers_by_id);
-	raft->last_leader_us = forgetful ? RAFT_NEVER : now_us;
+	raft->leader_contact_us = forgetful ? RAFT_NEVER : now_us;
 	raft->fresh_us = RAFT_NEVER;
-	raft->feeder_heard_us = RAFT_NEVER;
+	raft->upstream_contact_us = RAFT_NEVER;
 	lease_init(&raft->lease, &options->lease);
 	raft_reset_election(raft, now_us);
 	return raft;
@@ -65,16 +65,16 @@
 
 static void raft_free_lists(struct raft *raft)
 {
-	struct raft_ticket *ticket;
-	struct raft_ticket *next_ticket;
-	struct raft_waiting *waiting;
-	struct raft_waiting *next_waiting;
+	struct raft_pending_sync *ticket;
+	struct raft_pending_sync *next_ticket;
+	struct raft_deferred_message *waiting;
+	struct raft_deferred_message *next_waiting;
 	struct raft_peer *peer;
 	struct raft_peer *next_peer;
 
 	list_foreach_safe(ticket, next_ticket, &raft->tickets, node)
 		free(ticket);
-	list_foreach_safe(waiting, next_waiting, &raft->waiting, node) {
+	list_foreach_safe(waiting, next_waiting, &raft->deferred, node) {
 		bytes_clear(&waiting->body);
 		free(waiting);
 	}
@@ -172,14 +172,14 @@
 	raft_append_own(raft, RAFT_ENTRY_MEMBERS, body.data, body.len, effects);
 	bytes_clear(&body);
 	/* no earlier leader can count on us, so there's nothing to wait for */
-	raft->last_leader_us = RAFT_NEVER;
+	raft->leader_contact_us = RAFT_NEVER;
 	raft->election_at_us = now_us;
 	raft_finish(raft, now_us, effects);
 	return RESULT_OK;
 }
 
-static void raft_pass_leadership(struct raft *raft, int64_t now_us,
-				 struct effects *effects)
+static void raft_continue_transfer(struct raft *raft, int64_t now_us,
+				   struct effects *effects)
 {
 	struct raft_message message = { .kind = RAFT_TIMEOUT_NOW,
 					.term = raft->term };
@@ -192,7 +192,7 @@
 	if (raft->transfer_sent)
 		return;
 	list_foreach(peer, &raft->peers, node) {
-		if (!peer->up || peer->failed || !peer->votes ||
+		if (!peer->up || peer->disk_failed || !peer->is_voter ||
 		    peer->match < raft_log_last(&raft->log))
 			continue;
 		raft->transfer_sent = true;
@@ -216,40 +216,40 @@
 	raft_renew_lease(raft, now_us);
 	raft_tick_members(raft, now_us, effects);
 	if (raft->transferring)
-		raft_pass_leadership(raft, now_us, effects);
+		raft_continue_transfer(raft, now_us, effects);
 }
 
 /** Removed meanwhile, and a feeder brings us what we missed. */
-static bool raft_is_fed(const struct raft *raft, int64_t now_us)
+static bool raft_has_upstream(const struct raft *raft, int64_t now_us)
 {
-	return raft->outcast &&
-	       now_us - raft->feeder_heard_us < raft->options.election_us;
+	return raft->removed &&
+	       now_us - raft->upstream_contact_us < raft->options.election_us;
 }
 
 /**
  * A leader that was paused heard nobody meanwhile: members that live would
  * count as silent until their first answers come.
  */
-static void raft_note_pause(struct raft *raft, int64_t now_us)
+static void raft_detect_pause(struct raft *raft, int64_t now_us)
 {
 	if (raft->role == RAFT_LEADER &&
-	    now_us - raft->ran_us >= raft->options.election_us)
-		raft_count_silence_anew(raft, now_us);
-	raft->ran_us = now_us;
+	    now_us - raft->last_run_us >= raft->options.election_us)
+		raft_reset_contact_times(raft, now_us);
+	raft->last_run_us = now_us;
 }
 
 void raft_tick(struct raft *raft, int64_t now_us, struct effects *effects)
 {
-	raft_note_pause(raft, now_us);
+	raft_detect_pause(raft, now_us);
 	if (raft->role == RAFT_LEADER)
 		raft_tick_leader(raft, now_us, effects);
 	else if (now_us >= raft->election_at_us && raft_can_vote(raft) &&
-		 !raft_is_fed(raft, now_us))
+		 !raft_has_upstream(raft, now_us))
 		raft_prevote(raft, now_us, effects);
 	if (raft->role != RAFT_LEADER)
 		raft_tick_learner(raft, now_us, effects);
 	raft_tick_join(raft, now_us, effects);
-	raft_tick_feeding(raft, now_us, effects);
+	raft_tick_replication(raft, now_us, effects);
 	raft_finish(raft, now_us, effects);
 }
 
@@ -284,11 +284,11 @@
 	case RAFT_JOIN:
 		raft_on_join(raft, message, effects);
 		break;
-	case RAFT_FOLLOW:
-		raft_on_follow(raft, peer, message, now_us, effects);
+	case RAFT_SUBSCRIBE:
+		raft_on_subscribe(raft, peer, message, now_us, effects);
 		break;
-	case RAFT_FOLLOW_REFUSED:
-		raft_on_follow_refused(raft, peer, message, effects);
+	case RAFT_SUBSCRIBE_REFUSED:
+		raft_on_subscribe_refused(raft, peer, message, effects);
 		break;
 	}
 }
@@ -298,7 +298,8 @@
  * while this VM was paused, and its sender may be gone since; an answer proves
  * no more than that its sender lived when we sent what it answers.
  */
-static int64_t raft_alive_us(const struct raft_message *message, int64_t now_us)
+static int64_t raft_contact_us(const struct raft_message *message,
+			       int64_t now_us)
 {
 	return message->echo_us && message->echo_us < now_us ? message->echo_us
 							     : now_us;
@@ -320,10 +321,10 @@
 			 (unsigned long long)peer_id);
 		return;
 	}
-	raft_note_pause(raft, now_us);
-	alive_us = raft_alive_us(&message, now_us);
-	if (alive_us > peer->heard_us)
-		peer->heard_us = alive_us;
+	raft_detect_pause(raft, now_us);
+	alive_us = raft_contact_us(&message, now_us);
+	if (alive_us > peer->last_contact_us)
+		peer->last_contact_us = alive_us;
 	raft_dispatch(raft, peer, &message, now_us, effects);
 	raft_message_clear(&message);
 	raft_finish(raft, now_us, effects);
@@ -338,10 +339,11 @@
 		return;
 	peer->up = true;
 	peer->probing = true;
-	peer->n_flight = 0;
+	peer->n_inflight = 0;
 	peer->snapshot_index = 0;
-	peer->feeding = peer->child ||
-			(raft->role == RAFT_LEADER && raft_leader_feeds(peer));
+	peer->replicating =
+		peer->downstream ||
+		(raft->role == RAFT_LEADER && raft_leader_replicates_to(peer));
 	raft_feed(raft, peer, true, now_us, effects);
 	raft_finish(raft, now_us, effects);
 }
@@ -354,11 +356,12 @@
 	if (!peer)
 		return;
 	peer->up = false;
-	peer->child = false;
+	peer->downstream = false;
 	/* A leader counts its silence from what it last said. */
 	if (raft->role != RAFT_LEADER)
-		peer->heard_us = now_us;
-	peer->feeding = raft->role == RAFT_LEADER && raft_leader_feeds(peer);
+		peer->last_contact_us = now_us;
+	peer->replicating =
+		raft->role == RAFT_LEADER && raft_leader_replicates_to(peer);
 	raft_finish(raft, now_us, effects);
 }
 
@@ -373,13 +376,12 @@
 	*index = raft_append_own(raft, RAFT_ENTRY_COMMAND, data, len, effects)
 			 ->index;
 	*term = raft->term;
-	raft_feed_all(raft, false, now_us, effects);
+	raft_replicate_all(raft, false, now_us, effects);
 	raft_finish(raft, now_us, effects);
 	return RESULT_OK;
 }
 
-static void raft_hand_out_snapshot(struct raft *raft,
-				   struct raft_committed *out)
+static void raft_output_snapshot(struct raft *raft, struct raft_committed *out)
 {
 	struct members members = { 0 };
 
@@ -400,7 +402,7 @@
 		return false;
 	entry = raft_log_at(&raft->log, raft->applied + 1);
 	if (!entry) {
-		raft_hand_out_snapshot(raft, out);
+		raft_output_snapshot(raft, out);
 		return true;
 	}
 	raft->applied++;
@@ -426,7 +428,7 @@
 	raft->transfer_sent = false;
 	raft->transfer_until_us = now_us + raft->options.election_us;
 	lease_lost(&raft->lease);
-	raft_pass_leadership(raft, now_us, effects);
+	raft_continue_transfer(raft, now_us, effects);
 	raft_finish(raft, now_us, effects);
 }
 
--- a/libfilberthall/agree/raft_disk.c
+++ b/libfilberthall/agree/raft_disk.c
@@ -14,7 +14,7 @@
 
 static bool raft_writes(const struct raft *raft)
 {
-	return raft->options.self.disk && !raft->failed;
+	return raft->options.self.disk && !raft->disk_failed;
 }
 
 void raft_write_hard_state(struct raft *raft, struct effects *effects)
@@ -49,7 +49,7 @@
  */
 void raft_unsync(struct raft *raft, int64_t from)
 {
-	struct raft_ticket *ticket;
+	struct raft_pending_sync *ticket;
 
 	list_foreach(ticket, &raft->tickets, node)
 		if (ticket->last_index >= from)
@@ -110,9 +110,9 @@
 			  const struct raft_message *message,
 			  struct effects *effects)
 {
-	struct raft_waiting *waiting;
+	struct raft_deferred_message *waiting;
 
-	if (raft->failed)
+	if (raft->disk_failed)
 		return;
 	if (!raft->dirty && list_empty(&raft->tickets)) {
 		raft_send(raft, peer, message, effects);
@@ -122,16 +122,16 @@
 	waiting->ticket = raft->last_ticket + (raft->dirty ? 1 : 0);
 	waiting->peer = peer;
 	raft_message_encode(message, &waiting->body);
-	list_append(&raft->waiting, &waiting->node);
+	list_append(&raft->deferred, &waiting->node);
 }
 
 static void raft_release_waiting(struct raft *raft, int64_t ticket,
 				 struct effects *effects)
 {
-	struct raft_waiting *waiting;
-	struct raft_waiting *next;
+	struct raft_deferred_message *waiting;
+	struct raft_deferred_message *next;
 
-	list_foreach_safe(waiting, next, &raft->waiting, node) {
+	list_foreach_safe(waiting, next, &raft->deferred, node) {
 		if (waiting->ticket > ticket)
 			break;
 		list_remove(&waiting->node);
@@ -142,10 +142,10 @@
 
 static void raft_drop_waiting(struct raft *raft)
 {
-	struct raft_waiting *waiting;
-	struct raft_waiting *next;
+	struct raft_deferred_message *waiting;
+	struct raft_deferred_message *next;
 
-	list_foreach_safe(waiting, next, &raft->waiting, node) {
+	list_foreach_safe(waiting, next, &raft->deferred, node) {
 		list_remove(&waiting->node);
 		bytes_clear(&waiting->body);
 		free(waiting);
@@ -156,8 +156,8 @@
 static void raft_settle(struct raft *raft, int64_t ticket, int64_t now_us,
 			struct effects *effects)
 {
-	struct raft_ticket *done;
-	struct raft_ticket *next;
+	struct raft_pending_sync *done;
+	struct raft_pending_sync *next;
 
 	list_foreach_safe(done, next, &raft->tickets, node) {
 		if (done->ticket > ticket)
@@ -165,7 +165,7 @@
 		if (done->last_index > raft->synced_index)
 			raft->synced_index = done->last_index;
 		if (done->term == raft->term && raft->role == RAFT_CANDIDATE)
-			raft->self_vote = true;
+			raft->self_vote_granted = true;
 		list_remove(&done->node);
 		free(done);
 	}
@@ -181,10 +181,10 @@
 /** End of each call: one sync for all that it wrote. */
 void raft_finish(struct raft *raft, int64_t now_us, struct effects *effects)
 {
-	if (raft->failed)
+	if (raft->disk_failed)
 		raft->dirty = false;
 	while (raft->dirty) {
-		struct raft_ticket *ticket = xcalloc(1, sizeof(*ticket));
+		struct raft_pending_sync *ticket = xcalloc(1, sizeof(*ticket));
 		int64_t last_index = raft_log_last(&raft->log);
 		int64_t number = ++raft->last_ticket;
 
@@ -226,7 +226,7 @@
 void raft_synced(struct raft *raft, int64_t ticket, int64_t now_us,
 		 struct effects *effects)
 {
-	if (raft->failed)
+	if (raft->disk_failed)
 		return;
 	raft_settle(raft, ticket, now_us, effects);
 	raft_finish(raft, now_us, effects);
@@ -235,9 +235,9 @@
 void raft_disk_failed(struct raft *raft, enum result code, int64_t now_us,
 		      struct effects *effects)
 {
-	if (raft->failed)
+	if (raft->disk_failed)
 		return;
-	raft->failed = true;
+	raft->disk_failed = true;
 	raft_drop_waiting(raft);
 	raft_say(effects, LOG_ERROR,
 		 "%s: this VM votes and acknowledges nothing any more",
--- a/libfilberthall/agree/raft_election.c
+++ b/libfilberthall/agree/raft_election.c
@@ -2,7 +2,8 @@
 
 bool raft_can_vote(const struct raft *raft)
 {
-	return raft->options.self.disk && !raft->failed && raft_is_voter(raft);
+	return raft->options.self.disk && !raft->disk_failed &&
+	       raft_is_voter(raft);
 }
 
 /**
@@ -10,9 +11,9 @@
  * voter has reached us: with a dead voter in the group, the candidate that
  * holds this entry may need just our vote, and nobody else can be elected.
  */
-static bool raft_may_grant(const struct raft *raft)
+static bool raft_may_grant_vote(const struct raft *raft)
 {
-	return raft->options.self.disk && !raft->failed;
+	return raft->options.self.disk && !raft->disk_failed;
 }
 
 /** A random wait, so that two candidates seldom split the votes. */
@@ -25,13 +26,13 @@
 		(int64_t)rng_below(&raft->rng, (uint64_t)election_us);
 }
 
-static void raft_forget_campaign(struct raft *raft)
+static void raft_clear_votes(struct raft *raft)
 {
 	struct raft_peer *peer;
 
-	raft->self_vote = false;
+	raft->self_vote_granted = false;
 	list_foreach(peer, &raft->peers, node)
-		peer->granted = false;
+		peer->vote_granted = false;
 }
 
 /**
@@ -40,14 +41,14 @@
  * confirmed, the leader's commit index would commit an entry that it has
  * replaced.
  */
-void raft_distrust_tail(struct raft *raft)
+void raft_reset_verified(struct raft *raft)
 {
 	struct raft_peer *peer;
 
 	raft->verified = raft->commit;
 	raft->acknowledged = 0;
 	list_foreach(peer, &raft->peers, node)
-		peer->echo_us = 0;
+		peer->echo_clock_us = 0;
 }
 
 void raft_become_follower(struct raft *raft, int64_t term, uint64_t leader,
@@ -57,7 +58,7 @@
 	bool was_leader = raft->role == RAFT_LEADER;
 
 	if (term != raft->term || raft->leader != leader || was_leader)
-		raft_distrust_tail(raft);
+		raft_reset_verified(raft);
 	if (term != raft->term) {
 		raft->term = term;
 		raft->vote = 0;
@@ -68,9 +69,9 @@
 	raft->transferring = false;
 	lease_lost(&raft->lease);
 	members_clear(&raft->joining);
-	raft_forget_campaign(raft);
+	raft_clear_votes(raft);
 	list_foreach(peer, &raft->peers, node)
-		peer->feeding = peer->child;
+		peer->replicating = peer->downstream;
 	raft_reset_election(raft, now_us);
 	if (was_leader)
 		raft_say(effects, LOG_WARN, "no longer leader in term %lld",
@@ -85,17 +86,17 @@
  * A vote given now could break its lease, and a member that comes back from
  * a partition with a higher term would depose a working leader.
  */
-static bool raft_leader_holds(const struct raft *raft, int64_t now_us)
+static bool raft_leader_may_hold_lease(const struct raft *raft, int64_t now_us)
 {
 	if (raft->options.mutant == RAFT_MUTANT_VOTE_WHILE_LEADER_HEARD)
 		return false;
 	return raft->role == RAFT_LEADER ||
-	       now_us - raft->last_leader_us < raft->options.election_us;
+	       now_us - raft->leader_contact_us < raft->options.election_us;
 }
 
 /** A candidate whose log lacks what we hold may lack what is committed. */
-static bool raft_log_suffices(const struct raft *raft,
-			      const struct raft_message *message)
+static bool raft_candidate_log_is_current(const struct raft *raft,
+					  const struct raft_message *message)
 {
 	int64_t last = raft_log_last(&raft->log);
 	int64_t last_term = raft_log_term(&raft->log, last);
@@ -106,9 +107,9 @@
 	       (message->log_term == last_term && message->index >= last);
 }
 
-static void raft_ask_voters(struct raft *raft, enum raft_message_kind kind,
-			    int64_t term, bool transfer,
-			    struct effects *effects)
+static void raft_request_votes(struct raft *raft, enum raft_message_kind kind,
+			       int64_t term, bool transfer,
+			       struct effects *effects)
 {
 	struct raft_message message = {
 		.kind = kind,
@@ -121,7 +122,7 @@
 	struct raft_peer *peer;
 
 	list_foreach(peer, &raft->peers, node) {
-		if (!peer->up || !peer->votes)
+		if (!peer->up || !peer->is_voter)
 			continue;
 		if (kind == RAFT_VOTE)
 			raft_send_after_sync(raft, peer->id, &message, effects);
@@ -138,11 +139,11 @@
 void raft_prevote(struct raft *raft, int64_t now_us, struct effects *effects)
 {
 	raft_reset_election(raft, now_us);
-	raft_forget_campaign(raft);
+	raft_clear_votes(raft);
 	raft->leader = 0;
 	raft->role = RAFT_PRE_CANDIDATE;
-	raft->self_vote = true;
-	raft_ask_voters(raft, RAFT_PREVOTE, raft->term + 1, false, effects);
+	raft->self_vote_granted = true;
+	raft_request_votes(raft, RAFT_PREVOTE, raft->term + 1, false, effects);
 	raft_count_votes(raft, now_us, effects);
 }
 
@@ -151,18 +152,18 @@
 {
 	raft->counters.elections++;
 	raft_reset_election(raft, now_us);
-	raft_forget_campaign(raft);
+	raft_clear_votes(raft);
 	raft->role = RAFT_CANDIDATE;
 	raft->leader = 0;
 	raft->term++;
 	raft->vote = raft->options.self.id;
 	raft_write_hard_state(raft, effects);
-	raft_ask_voters(raft, RAFT_VOTE, raft->term, transfer, effects);
+	raft_request_votes(raft, RAFT_VOTE, raft->term, transfer, effects);
 	if (raft->options.mutant == RAFT_MUTANT_VOTE_BEFORE_SYNC)
-		raft->self_vote = true;
+		raft->self_vote_granted = true;
 }
 
-void raft_count_silence_anew(struct raft *raft, int64_t now_us)
+void raft_reset_contact_times(struct raft *raft, int64_t now_us)
 {
 	struct raft_peer *peer;
 
@@ -174,7 +175,7 @@
 	 */
 	list_foreach(peer, &raft->peers, node)
 		if (peer->up)
-			peer->heard_us = now_us;
+			peer->last_contact_us = now_us;
 }
 
 static void raft_become_leader(struct raft *raft, int64_t now_us,
@@ -186,7 +187,7 @@
 	raft->role = RAFT_LEADER;
 	raft->leader = raft->options.self.id;
 	raft->elected_us = now_us;
-	raft_count_silence_anew(raft, now_us);
+	raft_reset_contact_times(raft, now_us);
 	raft->transferring = false;
 	raft->transfer_sent = false;
 	lease_elected(&raft->lease, raft->term, now_us);
@@ -195,31 +196,32 @@
 	list_foreach(peer, &raft->peers, node) {
 		peer->next = last + 1;
 		peer->match = 0;
-		peer->held = 0;
+		peer->received = 0;
 		peer->probing = true;
-		peer->n_flight = 0;
+		peer->n_inflight = 0;
 		peer->sent_us = RAFT_NEVER;
-		peer->acked_us = RAFT_NEVER;
+		peer->last_acked_us = RAFT_NEVER;
 		peer->snapshot_index = 0;
-		peer->feeding = peer->child || raft_leader_feeds(peer);
+		peer->replicating =
+			peer->downstream || raft_leader_replicates_to(peer);
 	}
 	raft_say(effects, LOG_INFO, "leader in term %lld",
 		 (long long)raft->term);
 	raft->first_own_index =
 		raft_append_own(raft, RAFT_ENTRY_EMPTY, NULL, 0, effects)
 			->index;
-	raft_feed_all(raft, true, now_us, effects);
+	raft_replicate_all(raft, true, now_us, effects);
 }
 
 void raft_count_votes(struct raft *raft, int64_t now_us,
 		      struct effects *effects)
 {
 	int quorum = members_quorum(raft->voters);
-	int votes = raft->self_vote && raft_can_vote(raft);
+	int votes = raft->self_vote_granted && raft_can_vote(raft);
 	struct raft_peer *peer;
 
 	list_foreach(peer, &raft->peers, node)
-		if (peer->granted && peer->votes)
+		if (peer->vote_granted && peer->is_voter)
 			votes++;
 	if (votes < quorum)
 		return;
@@ -235,12 +237,12 @@
 {
 	struct raft_message reply = { .kind = RAFT_PREVOTE_REPLY };
 
-	if (raft->self_member && !peer->member) {
+	if (raft->self_is_member && !peer->is_member) {
 		reply.flags = RAFT_REJECTED | RAFT_REMOVED;
 		reply.term = raft->term;
-	} else if (message->term > raft->term && raft_may_grant(raft) &&
-		   !raft_leader_holds(raft, now_us) &&
-		   raft_log_suffices(raft, message)) {
+	} else if (message->term > raft->term && raft_may_grant_vote(raft) &&
+		   !raft_leader_may_hold_lease(raft, now_us) &&
+		   raft_candidate_log_is_current(raft, message)) {
 		reply.flags = RAFT_GRANTED;
 		reply.term = message->term;
 	} else {
@@ -250,15 +252,16 @@
 	raft_send(raft, peer->id, &reply, effects);
 }
 
-static void raft_grant(struct raft *raft, struct raft_peer *peer,
-		       const struct raft_message *message, int64_t now_us,
-		       struct effects *effects)
+static void raft_answer_vote(struct raft *raft, struct raft_peer *peer,
+			     const struct raft_message *message, int64_t now_us,
+			     struct effects *effects)
 {
 	struct raft_message reply = { .kind = RAFT_VOTE_REPLY,
 				      .term = raft->term };
 	bool granted = raft->role == RAFT_FOLLOWER && !raft->leader &&
 		       (!raft->vote || raft->vote == peer->id) &&
-		       raft_may_grant(raft) && raft_log_suffices(raft, message);
+		       raft_may_grant_vote(raft) &&
+		       raft_candidate_log_is_current(raft, message);
 
 	if (granted && !raft->vote) {
 		raft->vote = peer->id;
@@ -277,17 +280,17 @@
 {
 	bool asked_by_leader = message->flags & RAFT_TRANSFER;
 
-	raft->outcast = false;
+	raft->removed = false;
 	if (message->kind == RAFT_PREVOTE) {
 		raft_on_prevote(raft, peer, message, now_us, effects);
 		return;
 	}
 	if (message->term < raft->term ||
-	    (!asked_by_leader && raft_leader_holds(raft, now_us)))
+	    (!asked_by_leader && raft_leader_may_hold_lease(raft, now_us)))
 		return;
 	if (message->term > raft->term)
 		raft_become_follower(raft, message->term, 0, now_us, effects);
-	raft_grant(raft, peer, message, now_us, effects);
+	raft_answer_vote(raft, peer, message, now_us, effects);
 }
 
 void raft_on_vote_reply(struct raft *raft, struct raft_peer *peer,
@@ -299,10 +302,10 @@
 	enum raft_role role = prevote ? RAFT_PRE_CANDIDATE : RAFT_CANDIDATE;
 
 	if (message->flags & RAFT_REMOVED && raft->role != RAFT_LEADER) {
-		if (!raft->outcast)
+		if (!raft->removed)
 			raft_become_follower(raft, raft->term, 0, now_us,
 					     effects);
-		raft->outcast = true;
+		raft->removed = true;
 		return;
 	}
 	if (!(message->flags & RAFT_GRANTED)) {
@@ -313,7 +316,7 @@
 	}
 	if (raft->role != role || message->term != wanted)
 		return;
-	peer->granted = true;
+	peer->vote_granted = true;
 	raft_count_votes(raft, now_us, effects);
 }
 
--- a/libfilberthall/agree/raft_follow.c
+++ b/libfilberthall/agree/raft_follow.c
@@ -24,17 +24,17 @@
 	struct raft_message reply = {
 		.kind = RAFT_APPEND_REPLY,
 		.term = raft->term,
-		.echo_us = peer->echo_us,
+		.echo_us = peer->echo_clock_us,
 		.sent_us = now_us,
 		.applied = raft->applied,
-		.flags = raft->failed ? RAFT_DISK_LOST : 0,
+		.flags = raft->disk_failed ? RAFT_DISK_HAS_FAILED : 0,
 	};
 
 	if (rejected) {
 		reply.flags |= RAFT_REJECTED;
 		reply.index = hint;
 	} else {
-		reply.held = raft->verified;
+		reply.received = raft->verified;
 		reply.match = raft->synced_index < raft->verified
 				      ? raft->synced_index
 				      : raft->verified;
@@ -51,7 +51,7 @@
 {
 	struct raft_peer *peer =
 		raft_peer_find(raft, raft_is_voter(raft) ? raft->leader
-							 : raft->feeder);
+							 : raft->upstream);
 	int64_t match = raft->synced_index < raft->verified ? raft->synced_index
 							    : raft->verified;
 
@@ -105,8 +105,8 @@
  * that moment, and was then `age` away from a time at which a leader had a
  * quorum. No message that was kept back somewhere can look newer than it is.
  */
-static void raft_take_freshness(struct raft *raft,
-				const struct raft_message *message)
+static void raft_update_fresh_us(struct raft *raft,
+				 const struct raft_message *message)
 {
 	int64_t fresh_us;
 
@@ -119,9 +119,9 @@
 		raft->fresh_us = fresh_us;
 }
 
-static void raft_take_entries(struct raft *raft, struct raft_peer *peer,
-			      const struct raft_message *message,
-			      int64_t now_us, struct effects *effects)
+static void raft_process_entries(struct raft *raft, struct raft_peer *peer,
+				 const struct raft_message *message,
+				 int64_t now_us, struct effects *effects)
 {
 	int64_t last = message->index + (int64_t)message->n_entries;
 	bool behind = message->index < raft->log.first - 1;
@@ -131,7 +131,7 @@
 	 * A feeder may hold entries that aren't committed; that ours are the
 	 * same doesn't make them the leader's.
 	 */
-	if (message->flags & RAFT_FED && last > message->commit)
+	if (message->flags & RAFT_RELAYED && last > message->commit)
 		last = message->commit;
 	if (!behind &&
 	    raft_log_term(&raft->log, message->index) != message->log_term) {
@@ -153,41 +153,41 @@
 		if (commit > raft->commit)
 			raft->commit = commit;
 	}
-	raft_take_freshness(raft, message);
-	if (!stored || raft->failed)
+	raft_update_fresh_us(raft, message);
+	if (!stored || raft->disk_failed)
 		raft_reply_append(raft, peer, false, 0, now_us, effects);
-	raft_feed_all(raft, false, now_us, effects);
+	raft_replicate_all(raft, false, now_us, effects);
 }
 
 /** Entries from a feeder: committed ones, whoever leads by now. */
-static void raft_on_fed(struct raft *raft, struct raft_peer *peer,
-			const struct raft_message *message, int64_t now_us,
-			struct effects *effects)
+static void raft_on_relayed(struct raft *raft, struct raft_peer *peer,
+			    const struct raft_message *message, int64_t now_us,
+			    struct effects *effects)
 {
-	if (!raft_takes_fed(raft, peer))
+	if (!raft_accepts_relayed(raft, peer))
 		return;
 	if (message->term > raft->term)
 		raft_become_follower(raft, message->term, message->leader,
 				     now_us, effects);
 	if (raft->leader != message->leader)
-		raft_distrust_tail(raft);
+		raft_reset_verified(raft);
 	raft->leader = message->leader;
 	/*
 	 * Two learners that feed each other would hear one another for ever
 	 * and never the group: only a fresh feeder counts as heard.
 	 */
-	if (message->age_us && message->age_us < raft_feed_age_limit(raft))
-		raft->feeder_heard_us = now_us;
-	peer->echo_us = message->sent_us;
-	raft_take_entries(raft, peer, message, now_us, effects);
+	if (message->age_us && message->age_us < raft_upstream_age_limit(raft))
+		raft->upstream_contact_us = now_us;
+	peer->echo_clock_us = message->sent_us;
+	raft_process_entries(raft, peer, message, now_us, effects);
 }
 
 void raft_on_append(struct raft *raft, struct raft_peer *peer,
 		    const struct raft_message *message, int64_t now_us,
 		    struct effects *effects)
 {
-	if (message->flags & RAFT_FED) {
-		raft_on_fed(raft, peer, message, now_us, effects);
+	if (message->flags & RAFT_RELAYED) {
+		raft_on_relayed(raft, peer, message, now_us, effects);
 		return;
 	}
 	if (message->term < raft->term) {
@@ -204,13 +204,13 @@
 	    raft->leader != peer->id)
 		raft_become_follower(raft, message->term, peer->id, now_us,
 				     effects);
-	raft->outcast = false;
-	raft->last_leader_us = now_us;
-	raft->feeder = peer->id;
-	raft->feeder_heard_us = now_us;
-	raft->feeder_attempt = 0;
-	if (message->sent_us > peer->echo_us)
-		peer->echo_us = message->sent_us;
+	raft->removed = false;
+	raft->leader_contact_us = now_us;
+	raft->upstream = peer->id;
+	raft->upstream_contact_us = now_us;
+	raft->upstream_attempt = 0;
+	if (message->sent_us > peer->echo_clock_us)
+		peer->echo_clock_us = message->sent_us;
 	raft_reset_election(raft, now_us);
-	raft_take_entries(raft, peer, message, now_us, effects);
+	raft_process_entries(raft, peer, message, now_us, effects);
 }
--- a/libfilberthall/agree/raft_internal.h
+++ b/libfilberthall/agree/raft_internal.h
@@ -9,7 +9,7 @@
 /** What the parts of Raft share; nobody else includes this. */
 
 #define RAFT_NEVER (INT64_MIN / 4)
-#define RAFT_MAX_FLIGHT 32
+#define RAFT_MAX_INFLIGHT 32
 #define RAFT_MAX_ENTRY_BYTES (4 * 1024 * 1024)
 #define RAFT_MAX_SNAPSHOT_BYTES (INT64_C(256) * 1024 * 1024)
 
@@ -34,17 +34,18 @@
 	RAFT_CHUNK_REPLY,
 	RAFT_TIMEOUT_NOW, /**< campaign at once: leadership is handed over */
 	RAFT_JOIN,	  /**< a VM that isn't in the configuration */
-	RAFT_FOLLOW,	  /**< a learner asks to be fed */
-	RAFT_FOLLOW_REFUSED
+	RAFT_SUBSCRIBE,	  /**< a learner asks to be fed */
+	RAFT_SUBSCRIBE_REFUSED
 };
 
 enum raft_message_flag {
 	RAFT_GRANTED = 1,
 	RAFT_REJECTED = 2,
-	RAFT_DISK_LOST = 4, /**< the sender acknowledges nothing any more */
-	RAFT_TRANSFER = 8,  /**< a vote asked for by the leader itself */
-	RAFT_FED = 16,	    /**< only committed entries, not from the leader */
-	RAFT_REMOVED = 32   /**< the receiver is no member any more */
+	RAFT_DISK_HAS_FAILED =
+		4,	   /**< the sender acknowledges nothing any more */
+	RAFT_TRANSFER = 8, /**< a vote asked for by the leader itself */
+	RAFT_RELAYED = 16, /**< only committed entries, not from the leader */
+	RAFT_REMOVED = 32  /**< the receiver is no member any more */
 };
 
 /** What a feeder tells its own feeder about those below it. */
@@ -61,12 +62,12 @@
 	int64_t index;	  /**< previous or last index, or a snapshot's */
 	int64_t log_term; /**< term of that entry */
 	int64_t commit;
-	int64_t sent_us; /**< sender's clock */
-	int64_t echo_us; /**< receiver's clock as the sender last saw it */
-	int64_t age_us;	 /**< since the leader was sure of a quorum, plus 1;
+	int64_t sent_us;  /**< sender's clock */
+	int64_t echo_us;  /**< receiver's clock as the sender last saw it */
+	int64_t age_us;	  /**< since the leader was sure of a quorum, plus 1;
 			       0 for unknown */
-	int64_t match;	 /**< durable here, same as the leader's */
-	int64_t held;	 /**< received, same as the leader's */
+	int64_t match;	  /**< durable here, same as the leader's */
+	int64_t received; /**< received, same as the leader's */
 	int64_t applied;
 	int64_t flags;
 	int64_t offset; /**< in a snapshot; hops of a RAFT_JOIN */
@@ -86,38 +87,38 @@
 	struct list node;
 	struct map_node by_id;
 	uint64_t id;
-	bool member;   /**< in the present configuration */
-	bool votes;    /**< as a voter */
-	bool has_disk; /**< it may become one */
-	bool up;       /**< its link stands */
-	bool feeding;  /**< we send entries to it */
-	bool child;    /**< a learner that asked for them */
-	bool probing;  /**< its log isn't known yet: one message at a time */
-	bool granted;  /**< its (pre-)vote in this campaign */
-	bool failed;   /**< its disk has failed */
-	bool below;    /**< reported by one of our children */
-	int64_t next;  /**< next index to send */
-	int64_t match; /**< durable there */
-	int64_t held;  /**< received there */
+	bool is_member;	  /**< in the present configuration */
+	bool is_voter;	  /**< as a voter */
+	bool has_disk;	  /**< it may become one */
+	bool up;	  /**< its link stands */
+	bool replicating; /**< we send entries to it */
+	bool downstream;  /**< a learner that asked for them */
+	bool probing;	  /**< its log isn't known yet: one message at a time */
+	bool vote_granted;	/**< its (pre-)vote in this campaign */
+	bool disk_failed;	/**< its disk has failed */
+	bool reported_by_child; /**< reported by one of our children */
+	int64_t next;		/**< next index to send */
+	int64_t match;		/**< durable there */
+	int64_t received;	/**< received there */
 	int64_t applied;
-	int64_t flight[RAFT_MAX_FLIGHT]; /**< last indices under way */
-	int n_flight;
+	int64_t inflight[RAFT_MAX_INFLIGHT]; /**< last indices under way */
+	int n_inflight;
 	int64_t sent_us;      /**< last append or chunk sent */
-	int64_t loaded_us;    /**< last append with entries, or chunk, sent */
-	int64_t answered_us;  /**< newest send time that it answered */
-	int64_t acked_us;     /**< the same while its disk works */
-	int64_t echo_us;      /**< its clock in its last append of this term */
-	int64_t their_us;     /**< its clock in its last message */
-	int64_t heard_us;     /**< last sign of life, see raft_alive_us() */
-	int64_t told_applied; /**< last reported to our feeder, and when */
-	int64_t told_us;
+	int64_t data_sent_us; /**< last append with entries, or chunk, sent */
+	int64_t last_answered_us; /**< newest send time that it answered */
+	int64_t last_acked_us;	  /**< the same while its disk works */
+	int64_t echo_clock_us; /**< its clock in its last append of this term */
+	int64_t peer_clock_us; /**< its clock in its last message */
+	int64_t last_contact_us;  /**< last sign of life, see raft_alive_us() */
+	int64_t reported_applied; /**< last reported to our feeder, and when */
+	int64_t reported_us;
 	int64_t snapshot_index;	 /**< being sent, 0 for none */
 	int64_t snapshot_offset; /**< bytes acknowledged */
 	bool chunk_sent;	 /**< the chunk from there on is under way */
 };
 
 /** A sync under way. */
-struct raft_ticket {
+struct raft_pending_sync {
 	struct list node;
 	int64_t ticket;
 	int64_t last_index; /**< durable once it came back */
@@ -125,7 +126,7 @@
 };
 
 /** A message that waits for a sync. */
-struct raft_waiting {
+struct raft_deferred_message {
 	struct list node;
 	int64_t ticket;
 	uint64_t peer;
@@ -146,25 +147,25 @@
 	struct bytes snapshot; /**< as on the disk */
 
 	/* syncs */
-	bool dirty;	/**< writes of this call have no ticket yet */
-	bool failed;	/**< the disk has failed */
-	bool self_vote; /**< our own vote is durable */
+	bool dirty;		/**< writes of this call have no ticket yet */
+	bool disk_failed;	/**< the disk has failed */
+	bool self_vote_granted; /**< our own vote is durable */
 	int64_t last_ticket;
 	int64_t synced_index;
 	struct list tickets;
-	struct list waiting;
+	struct list deferred;
 
 	/* progress */
 	enum raft_role role;
-	bool outcast; /**< a member told us that we were removed */
+	bool removed; /**< a member told us that we were removed */
 	uint64_t leader;
 	int64_t commit;
 	int64_t applied;
 
 	/* as follower */
-	int64_t verified;	/**< log is the leader's up to here */
-	int64_t acknowledged;	/**< match last told to the leader */
-	int64_t last_leader_us; /**< when the leader was last heard */
+	int64_t verified;	   /**< log is the leader's up to here */
+	int64_t acknowledged;	   /**< match last told to the leader */
+	int64_t leader_contact_us; /**< when the leader was last heard */
 	int64_t election_at_us;
 	int64_t fresh_us;
 	int64_t chunk_index; /**< snapshot being received */
@@ -178,15 +179,15 @@
 	bool transfer_sent;
 	int64_t transfer_until_us;
 	int64_t repair_at_us;
-	int64_t ran_us; /**< last message or tick */
+	int64_t last_run_us; /**< last message or tick */
 	struct lease lease;
 
 	/* as learner */
-	uint64_t feeder;
-	int feeder_attempt;
-	int link_attempt; /**< times that its link was asked for */
-	int64_t feeder_heard_us;
-	int64_t follow_at_us;
+	uint64_t upstream;
+	int upstream_attempt;
+	int link_attempts; /**< times that its link was asked for */
+	int64_t upstream_contact_us;
+	int64_t subscribe_at_us;
 	int64_t join_at_us;
 	int64_t report_at_us;
 
@@ -195,8 +196,8 @@
 	int64_t members_index;
 	struct members joining; /**< leader: to be added next */
 	int voters;		/**< in `members` */
-	bool self_member;	/**< whether we are in it */
-	bool self_votes;
+	bool self_is_member;	/**< whether we are in it */
+	bool self_is_voter;
 	struct list peers;
 	struct map peers_by_id;
 };
@@ -239,10 +240,10 @@
 bool raft_can_vote(const struct raft *raft);
 
 /** Leader: nobody was listened to until now; silence counts from here on. */
-void raft_count_silence_anew(struct raft *raft, int64_t now_us);
+void raft_reset_contact_times(struct raft *raft, int64_t now_us);
 
 void raft_reset_election(struct raft *raft, int64_t now_us);
-void raft_distrust_tail(struct raft *raft);
+void raft_reset_verified(struct raft *raft);
 void raft_become_follower(struct raft *raft, int64_t term, uint64_t leader,
 			  int64_t now_us, struct effects *effects);
 void raft_campaign(struct raft *raft, bool transfer, int64_t now_us,
@@ -266,16 +267,16 @@
 void raft_feed(struct raft *raft, struct raft_peer *peer, bool heartbeat,
 	       int64_t now_us, struct effects *effects);
 /** Take in which of our messages a reply answers. */
-void raft_note_answer(struct raft_peer *peer,
-		      const struct raft_message *message, int64_t now_us);
+void raft_record_answer(struct raft_peer *peer,
+			const struct raft_message *message, int64_t now_us);
 
 /** Whether what was last sent to a peer won't arrive any more. */
-bool raft_has_lost(const struct raft_peer *peer);
+bool raft_last_send_was_lost(const struct raft_peer *peer);
 
-void raft_feed_all(struct raft *raft, bool notice, int64_t now_us,
-		   struct effects *effects);
-void raft_tick_feeding(struct raft *raft, int64_t now_us,
-		       struct effects *effects);
+void raft_replicate_all(struct raft *raft, bool notice, int64_t now_us,
+			struct effects *effects);
+void raft_tick_replication(struct raft *raft, int64_t now_us,
+			   struct effects *effects);
 void raft_advance_commit(struct raft *raft, int64_t now_us,
 			 struct effects *effects);
 int64_t raft_quorum_us(const struct raft *raft, int64_t now_us);
@@ -307,7 +308,7 @@
 /* raft_member.c */
 struct raft_peer *raft_peer_find(const struct raft *raft, uint64_t id);
 struct raft_peer *raft_peer_get(struct raft *raft, uint64_t id, int64_t now_us);
-bool raft_leader_feeds(const struct raft_peer *peer);
+bool raft_leader_replicates_to(const struct raft_peer *peer);
 void raft_members_changed(struct raft *raft, struct effects *effects);
 void raft_scan_members(struct raft *raft, struct effects *effects);
 void raft_adopt_members(struct raft *raft, const struct raft_entry *entry,
@@ -318,20 +319,21 @@
 		  struct effects *effects);
 
 /* raft_learner.c */
-int64_t raft_feed_age_limit(const struct raft *raft);
-bool raft_takes_fed(const struct raft *raft, const struct raft_peer *peer);
+int64_t raft_upstream_age_limit(const struct raft *raft);
+bool raft_accepts_relayed(const struct raft *raft,
+			  const struct raft_peer *peer);
 void raft_tick_learner(struct raft *raft, int64_t now_us,
 		       struct effects *effects);
 void raft_tick_join(struct raft *raft, int64_t now_us, struct effects *effects);
-void raft_on_follow(struct raft *raft, struct raft_peer *peer,
-		    const struct raft_message *message, int64_t now_us,
-		    struct effects *effects);
-void raft_on_follow_refused(struct raft *raft, struct raft_peer *peer,
-			    const struct raft_message *message,
-			    struct effects *effects);
+void raft_on_subscribe(struct raft *raft, struct raft_peer *peer,
+		       const struct raft_message *message, int64_t now_us,
+		       struct effects *effects);
+void raft_on_subscribe_refused(struct raft *raft, struct raft_peer *peer,
+			       const struct raft_message *message,
+			       struct effects *effects);
 void raft_add_reports(struct raft *raft, struct raft_message *message,
 		      int64_t now_us);
-void raft_take_reports(struct raft *raft, const struct raft_message *message,
-		       int64_t now_us);
+void raft_apply_reports(struct raft *raft, const struct raft_message *message,
+			int64_t now_us);
 
 #endif
--- a/libfilberthall/agree/raft_learner.c
+++ b/libfilberthall/agree/raft_learner.c
@@ -19,20 +19,20 @@
 #define RAFT_REPORT_HEARTBEATS 5
 
 /** Older than this, a feeder doesn't count as one. */
-int64_t raft_feed_age_limit(const struct raft *raft)
+int64_t raft_upstream_age_limit(const struct raft *raft)
 {
 	return RAFT_FRESH_HEARTBEATS * raft->options.learner_heartbeat_us;
 }
 
 /** A voter trusts only the leader; one that was removed may need a feeder. */
-bool raft_takes_fed(const struct raft *raft, const struct raft_peer *peer)
+bool raft_accepts_relayed(const struct raft *raft, const struct raft_peer *peer)
 {
-	return (!raft_is_voter(raft) || raft->outcast) &&
-	       peer->id == raft->feeder;
+	return (!raft_is_voter(raft) || raft->removed) &&
+	       peer->id == raft->upstream;
 }
 
 /** Too many for the leader to feed all of them. */
-static bool raft_is_large(const struct raft *raft)
+static bool raft_uses_tree(const struct raft *raft)
 {
 	return raft->members.count > (size_t)raft->options.max_children + 1;
 }
@@ -41,7 +41,7 @@
  * Children of each node of the tree: half of what a feeder takes, so that it
  * has room for those whose own feeder is dead.
  */
-static size_t raft_fan(const struct raft *raft)
+static size_t raft_fanout(const struct raft *raft)
 {
 	return (size_t)raft->options.max_children / 2 + 1;
 }
@@ -83,12 +83,12 @@
 	return n;
 }
 
-static uint64_t raft_tree_feeder(const struct raft *raft, int attempt)
+static uint64_t raft_tree_upstream(const struct raft *raft, int attempt)
 {
 	uint64_t ids[MEMBER_MAX];
 	size_t own = MEMBER_MAX;
 	size_t n = raft_zone_peers(raft, ids, &own);
-	size_t fan = raft_fan(raft);
+	size_t fan = raft_fanout(raft);
 
 	if (own >= n)
 		return raft_any_voter(raft, attempt);
@@ -117,21 +117,21 @@
 	return 0;
 }
 
-static uint64_t raft_choose_feeder(const struct raft *raft)
+static uint64_t raft_choose_upstream(const struct raft *raft)
 {
-	int attempt = raft->feeder_attempt;
+	int attempt = raft->upstream_attempt;
 
 	if (!raft->members.count)
 		return raft_any_peer(raft, attempt);
-	if (!raft->options.self.disk && raft_is_large(raft))
-		return raft_tree_feeder(raft, attempt);
+	if (!raft->options.self.disk && raft_uses_tree(raft))
+		return raft_tree_upstream(raft, attempt);
 	if (!attempt && raft->leader)
 		return raft->leader;
 	return raft_any_voter(raft, attempt);
 }
 
-static void raft_want_link(const struct raft *raft, uint64_t id,
-			   struct effects *effects)
+static void raft_request_link(const struct raft *raft, uint64_t id,
+			      struct effects *effects)
 {
 	const struct member *member = members_find(&raft->members, id);
 	struct effect *effect;
@@ -148,11 +148,11 @@
 /** A link that was asked for gets some time before another feeder's turn. */
 #define RAFT_LINK_ATTEMPTS 4
 
-static void raft_ask_feeder(struct raft *raft, int64_t now_us,
-			    struct effects *effects)
+static void raft_subscribe(struct raft *raft, int64_t now_us,
+			   struct effects *effects)
 {
 	struct raft_message message = {
-		.kind = RAFT_FOLLOW,
+		.kind = RAFT_SUBSCRIBE,
 		.term = raft->term,
 		.index = raft_log_last(&raft->log),
 		.applied = raft->applied,
@@ -160,17 +160,17 @@
 	};
 	const struct raft_peer *peer;
 
-	raft->feeder = raft_choose_feeder(raft);
-	peer = raft_peer_find(raft, raft->feeder);
+	raft->upstream = raft_choose_upstream(raft);
+	peer = raft_peer_find(raft, raft->upstream);
 	if (peer && peer->up) {
-		raft_send(raft, raft->feeder, &message, effects);
+		raft_send(raft, raft->upstream, &message, effects);
 	} else {
-		raft_want_link(raft, raft->feeder, effects);
-		if (++raft->link_attempt < RAFT_LINK_ATTEMPTS)
+		raft_request_link(raft, raft->upstream, effects);
+		if (++raft->link_attempts < RAFT_LINK_ATTEMPTS)
 			return;
 	}
-	raft->link_attempt = 0;
-	raft->feeder_attempt++;
+	raft->link_attempts = 0;
+	raft->upstream_attempt++;
 }
 
 void raft_tick_learner(struct raft *raft, int64_t now_us,
@@ -178,25 +178,26 @@
 {
 	int64_t beat_us = raft->options.learner_heartbeat_us;
 
-	if (raft_is_voter(raft) && !raft->outcast)
+	if (raft_is_voter(raft) && !raft->removed)
 		return;
-	if (now_us - raft->feeder_heard_us < RAFT_SILENT_HEARTBEATS * beat_us) {
-		raft->feeder_attempt = 0;
+	if (now_us - raft->upstream_contact_us <
+	    RAFT_SILENT_HEARTBEATS * beat_us) {
+		raft->upstream_attempt = 0;
 		return;
 	}
-	if (now_us < raft->follow_at_us)
+	if (now_us < raft->subscribe_at_us)
 		return;
-	raft->follow_at_us = now_us + beat_us;
-	raft_ask_feeder(raft, now_us, effects);
+	raft->subscribe_at_us = now_us + beat_us;
+	raft_subscribe(raft, now_us, effects);
 }
 
-static int raft_children(const struct raft *raft)
+static int raft_count_downstreams(const struct raft *raft)
 {
 	const struct raft_peer *peer;
 	int children = 0;
 
 	list_foreach(peer, &raft->peers, node)
-		children += peer->child;
+		children += peer->downstream;
 	return children;
 }
 
@@ -204,11 +205,11 @@
  * Send it elsewhere. A VM that has just joined by us knows nobody else yet,
  * so it gets the configuration to choose from.
  */
-static void raft_refuse_follow(struct raft *raft, struct raft_peer *peer,
-			       const struct raft_message *asked,
-			       struct effects *effects)
+static void raft_refuse_subscription(struct raft *raft, struct raft_peer *peer,
+				     const struct raft_message *asked,
+				     struct effects *effects)
 {
-	struct raft_message refused = { .kind = RAFT_FOLLOW_REFUSED,
+	struct raft_message refused = { .kind = RAFT_SUBSCRIBE_REFUSED,
 					.term = raft->term,
 					.leader = raft->leader };
 	struct bytes body = { 0 };
@@ -222,34 +223,35 @@
 	bytes_clear(&body);
 }
 
-static bool raft_has_room(const struct raft *raft)
+static bool raft_has_downstream_room(const struct raft *raft)
 {
-	int room = raft_is_large(raft) ? (int)raft_fan(raft) + 2
-				       : raft->options.max_children;
+	int room = raft_uses_tree(raft) ? (int)raft_fanout(raft) + 2
+					: raft->options.max_children;
 
-	return raft_children(raft) < room;
+	return raft_count_downstreams(raft) < room;
 }
 
-void raft_on_follow(struct raft *raft, struct raft_peer *peer,
-		    const struct raft_message *message, int64_t now_us,
-		    struct effects *effects)
+void raft_on_subscribe(struct raft *raft, struct raft_peer *peer,
+		       const struct raft_message *message, int64_t now_us,
+		       struct effects *effects)
 {
-	bool fresh = raft_fresh_us(raft, now_us) + raft_feed_age_limit(raft) >
-		     now_us;
+	bool fresh =
+		raft_fresh_us(raft, now_us) + raft_upstream_age_limit(raft) >
+		now_us;
 
-	if (!peer->child && (!fresh || !raft_has_room(raft))) {
-		raft_refuse_follow(raft, peer, message, effects);
+	if (!peer->downstream && (!fresh || !raft_has_downstream_room(raft))) {
+		raft_refuse_subscription(raft, peer, message, effects);
 		return;
 	}
-	if (peer->votes && raft->role != RAFT_LEADER)
+	if (peer->is_voter && raft->role != RAFT_LEADER)
 		return;
-	peer->child = true;
-	peer->feeding = true;
+	peer->downstream = true;
+	peer->replicating = true;
 	peer->probing = true;
-	peer->n_flight = 0;
+	peer->n_inflight = 0;
 	peer->snapshot_index = 0;
 	peer->applied = message->applied;
-	peer->their_us = message->sent_us;
+	peer->peer_clock_us = message->sent_us;
 	peer->next = (message->index < raft->commit ? message->index
 						    : raft->commit) +
 		     1;
@@ -257,14 +259,14 @@
 }
 
 /** Without any entry of our own, the newest configuration told is ours. */
-void raft_on_follow_refused(struct raft *raft, struct raft_peer *peer,
-			    const struct raft_message *message,
-			    struct effects *effects)
+void raft_on_subscribe_refused(struct raft *raft, struct raft_peer *peer,
+			       const struct raft_message *message,
+			       struct effects *effects)
 {
 	size_t known = raft->members.count;
 	struct members told = { 0 };
 
-	if (peer->id != raft->feeder || raft_log_last(&raft->log) ||
+	if (peer->id != raft->upstream || raft_log_last(&raft->log) ||
 	    !members_decode(&told, message->data, message->len))
 		return;
 	raft->leader = message->leader;
@@ -272,7 +274,7 @@
 	raft->members = told;
 	raft_members_changed(raft, effects);
 	if (told.count != known)
-		raft->feeder_attempt = 0;
+		raft->upstream_attempt = 0;
 }
 
 /** Whether this VM must tell the leader who and where it is. */
@@ -281,7 +283,7 @@
 	const struct member *self = &raft->options.self;
 	const struct member *known = members_find(&raft->members, self->id);
 
-	return !known || raft->outcast || !member_same(known, self);
+	return !known || raft->removed || !member_same(known, self);
 }
 
 void raft_tick_join(struct raft *raft, int64_t now_us, struct effects *effects)
@@ -302,7 +304,7 @@
 	if (!peer || !peer->up)
 		peer = raft_peer_find(raft,
 				      raft_any_peer(raft,
-						    raft->feeder_attempt));
+						    raft->upstream_attempt));
 	if (raft->role == RAFT_LEADER)
 		raft_on_join(raft, &message, effects);
 	else if (peer)
@@ -315,15 +317,15 @@
  * times that it still lives. Each report of each member goes up to the
  * leader, so with hundreds of members they are most of what it receives.
  */
-static bool raft_reportable(const struct raft *raft,
+static bool raft_report_due(const struct raft *raft,
 			    const struct raft_peer *peer, int64_t now_us)
 {
 	int64_t beat_us = raft->options.learner_heartbeat_us;
 
-	return (peer->child || peer->below) &&
-	       now_us - peer->heard_us < raft_feed_age_limit(raft) &&
-	       (peer->applied != peer->told_applied ||
-		now_us - peer->told_us >= RAFT_REPORT_HEARTBEATS * beat_us);
+	return (peer->downstream || peer->reported_by_child) &&
+	       now_us - peer->last_contact_us < raft_upstream_age_limit(raft) &&
+	       (peer->applied != peer->reported_applied ||
+		now_us - peer->reported_us >= RAFT_REPORT_HEARTBEATS * beat_us);
 }
 
 /** Tell our feeder about the learners below us. */
@@ -336,7 +338,7 @@
 	if (now_us < raft->report_at_us)
 		return;
 	list_foreach(peer, &raft->peers, node)
-		n += raft_reportable(raft, peer, now_us);
+		n += raft_report_due(raft, peer, now_us);
 	if (!n)
 		return;
 	raft->report_at_us = now_us + raft->options.learner_heartbeat_us;
@@ -344,19 +346,19 @@
 	list_foreach(peer, &raft->peers, node) {
 		struct raft_report *report;
 
-		if (!raft_reportable(raft, peer, now_us))
+		if (!raft_report_due(raft, peer, now_us))
 			continue;
 		report = &message->reports[message->n_reports++];
 		report->id = peer->id;
 		report->applied = peer->applied;
-		report->age_ms = (now_us - peer->heard_us) / 1000;
-		peer->told_applied = peer->applied;
-		peer->told_us = now_us;
+		report->age_ms = (now_us - peer->last_contact_us) / 1000;
+		peer->reported_applied = peer->applied;
+		peer->reported_us = now_us;
 	}
 }
 
-void raft_take_reports(struct raft *raft, const struct raft_message *message,
-		       int64_t now_us)
+void raft_apply_reports(struct raft *raft, const struct raft_message *message,
+			int64_t now_us)
 {
 	size_t i;
 
@@ -368,11 +370,11 @@
 		int64_t heard_us = message->echo_us - report->age_ms * 1000;
 
 		peer = raft_peer_find(raft, report->id);
-		if (!peer || !peer->member || peer->feeding ||
-		    heard_us < peer->heard_us)
+		if (!peer || !peer->is_member || peer->replicating ||
+		    heard_us < peer->last_contact_us)
 			continue;
-		peer->below = true;
-		peer->heard_us = heard_us;
+		peer->reported_by_child = true;
+		peer->last_contact_us = heard_us;
 		peer->applied = report->applied;
 	}
 }
--- a/libfilberthall/agree/raft_member.c
+++ b/libfilberthall/agree/raft_member.c
@@ -24,9 +24,9 @@
 }
 
 /** Voters, and learners that may have to take over from one. */
-bool raft_leader_feeds(const struct raft_peer *peer)
+bool raft_leader_replicates_to(const struct raft_peer *peer)
 {
-	return peer->member && (peer->votes || peer->has_disk);
+	return peer->is_member && (peer->is_voter || peer->has_disk);
 }
 
 struct raft_peer *raft_peer_get(struct raft *raft, uint64_t id, int64_t now_us)
@@ -40,23 +40,23 @@
 	peer->next = raft_log_last(&raft->log) + 1;
 	peer->probing = true;
 	peer->sent_us = RAFT_NEVER;
-	peer->answered_us = RAFT_NEVER;
-	peer->acked_us = RAFT_NEVER;
-	peer->heard_us = now_us;
+	peer->last_answered_us = RAFT_NEVER;
+	peer->last_acked_us = RAFT_NEVER;
+	peer->last_contact_us = now_us;
 	list_append(&raft->peers, &peer->node);
 	map_insert(&raft->peers_by_id, &peer->by_id, map_hash(&id, sizeof(id)));
 	return peer;
 }
 
 /** Peers that are neither linked nor members are forgotten in time. */
-static void raft_forget_peers(struct raft *raft, int64_t now_us)
+static void raft_remove_stale_peers(struct raft *raft, int64_t now_us)
 {
 	struct raft_peer *peer;
 	struct raft_peer *next;
 
 	list_foreach_safe(peer, next, &raft->peers, node) {
-		if (peer->up || peer->member ||
-		    now_us - peer->heard_us < RAFT_FORGET_US)
+		if (peer->up || peer->is_member ||
+		    now_us - peer->last_contact_us < RAFT_FORGET_US)
 			continue;
 		list_remove(&peer->node);
 		map_remove(&raft->peers_by_id, &peer->by_id);
@@ -90,32 +90,32 @@
 }
 
 /** What each message needs of the configuration, at hand with the peers. */
-static void raft_note_members(struct raft *raft)
+static void raft_update_peer_roles(struct raft *raft)
 {
 	struct raft_peer *peer;
 	size_t i;
 
 	list_foreach(peer, &raft->peers, node) {
-		peer->member = false;
-		peer->votes = false;
+		peer->is_member = false;
+		peer->is_voter = false;
 	}
 	raft->voters = members_voters(&raft->members);
-	raft->self_member = false;
-	raft->self_votes = false;
+	raft->self_is_member = false;
+	raft->self_is_voter = false;
 	for (i = 0; i < raft->members.count; i++) {
 		const struct member *member = &raft->members.items[i];
 		bool votes = member->role == MEMBER_VOTER;
 
 		if (member->id == raft->options.self.id) {
-			raft->self_member = true;
-			raft->self_votes = votes;
+			raft->self_is_member = true;
+			raft->self_is_voter = votes;
 			continue;
 		}
 		peer = raft_peer_get(raft, member->id, raft->fresh_us);
 		if (!peer)
 			continue;
-		peer->member = true;
-		peer->votes = votes;
+		peer->is_member = true;
+		peer->is_voter = votes;
 		peer->has_disk = member->disk;
 	}
 }
@@ -124,10 +124,11 @@
 {
 	struct raft_peer *peer;
 
-	raft_note_members(raft);
+	raft_update_peer_roles(raft);
 	if (raft->role == RAFT_LEADER)
 		list_foreach(peer, &raft->peers, node)
-			peer->feeding = peer->child || raft_leader_feeds(peer);
+			peer->replicating = peer->downstream ||
+					    raft_leader_replicates_to(peer);
 	raft_open_links(raft, effects);
 }
 
@@ -191,7 +192,7 @@
 	members_encode(members, &body);
 	raft_append_own(raft, RAFT_ENTRY_MEMBERS, body.data, body.len, effects);
 	bytes_clear(&body);
-	raft_feed_all(raft, false, now_us, effects);
+	raft_replicate_all(raft, false, now_us, effects);
 }
 
 static void raft_apply_change(struct raft *raft,
@@ -220,10 +221,11 @@
 	if (!peer)
 		return false;
 	out->id = id;
-	out->last_contact_us = peer->heard_us;
+	out->last_contact_us = peer->last_contact_us;
 	out->applied = peer->applied;
-	out->disk_failed = peer->failed;
-	out->caught_up = peer->feeding && !peer->failed && peer->match &&
+	out->disk_failed = peer->disk_failed;
+	out->caught_up = peer->replicating && !peer->disk_failed &&
+			 peer->match &&
 			 peer->match + RAFT_CAUGHT_UP_ENTRIES >= raft->commit;
 	return true;
 }
@@ -237,9 +239,10 @@
 
 	if (!peer)
 		return false;
-	if (!peer->votes)
+	if (!peer->is_voter)
 		beat_us = raft->options.learner_heartbeat_us;
-	return now_us - peer->answered_us <= RAFT_PRESENT_HEARTBEATS * beat_us;
+	return now_us - peer->last_answered_us <=
+	       RAFT_PRESENT_HEARTBEATS * beat_us;
 }
 
 static void raft_repair(struct raft *raft, int64_t now_us,
@@ -293,7 +296,7 @@
 	if (now_us < raft->repair_at_us && !raft->joining.count)
 		return;
 	if (now_us >= raft->repair_at_us)
-		raft_forget_peers(raft, now_us);
+		raft_remove_stale_peers(raft, now_us);
 	if (!raft_may_change(raft))
 		return;
 	if (raft->joining.count) {
@@ -344,7 +347,7 @@
 		return;
 	}
 	if (!next || !next->up)
-		next = raft_peer_find(raft, raft->feeder);
+		next = raft_peer_find(raft, raft->upstream);
 	if (next && next->up && message->offset < RAFT_JOIN_HOPS)
 		raft_send(raft, next->id, &onward, effects);
 }
@@ -357,8 +360,8 @@
 	const struct raft_peer *peer;
 
 	list_foreach(peer, &raft->peers, node)
-		if (peer->id != id && peer->votes && !peer->failed &&
-		    now_us - peer->answered_us < raft->options.election_us)
+		if (peer->id != id && peer->is_voter && !peer->disk_failed &&
+		    now_us - peer->last_answered_us < raft->options.election_us)
 			living++;
 	return living;
 }
@@ -388,7 +391,7 @@
 
 	raft_health(raft, member->id, &health);
 	if (!member->disk || !health.caught_up ||
-	    now_us - peer->answered_us >= raft->options.election_us)
+	    now_us - peer->last_answered_us >= raft->options.election_us)
 		return RESULT_NOT_CAUGHT_UP;
 	return raft_living_voters(raft, 0, now_us) + 1 >= members_quorum(voters)
 		       ? RESULT_OK
--- a/libfilberthall/agree/raft_message.c
+++ b/libfilberthall/agree/raft_message.c
@@ -29,7 +29,7 @@
 	offsetof(struct raft_message, echo_us),
 	offsetof(struct raft_message, age_us),
 	offsetof(struct raft_message, match),
-	offsetof(struct raft_message, held),
+	offsetof(struct raft_message, received),
 	offsetof(struct raft_message, applied),
 	offsetof(struct raft_message, flags),
 	offsetof(struct raft_message, offset),
@@ -242,9 +242,9 @@
 		if (!raft_read_field(&root->via.map.ptr[i], message))
 			return false;
 	return message->kind >= RAFT_PREVOTE &&
-	       message->kind <= RAFT_FOLLOW_REFUSED && message->term >= 0 &&
+	       message->kind <= RAFT_SUBSCRIBE_REFUSED && message->term >= 0 &&
 	       message->index >= 0 && message->commit >= 0 &&
-	       message->match >= 0 && message->held >= 0 &&
+	       message->match >= 0 && message->received >= 0 &&
 	       message->offset >= 0 && message->age_us >= 0 &&
 	       message->applied >= 0 && message->total >= 0 &&
 	       message->total <= RAFT_MAX_SNAPSHOT_BYTES;
--- a/libfilberthall/agree/raft_replicate.c
+++ b/libfilberthall/agree/raft_replicate.c
@@ -27,7 +27,7 @@
 }
 
 /** A feeder other than the leader passes on only what is committed. */
-static int64_t raft_feed_limit(const struct raft *raft)
+static int64_t raft_replication_limit(const struct raft *raft)
 {
 	return raft->role == RAFT_LEADER ? raft_log_last(&raft->log)
 					 : raft->commit;
@@ -46,10 +46,11 @@
 	return lease_stretch(now_us - fresh_us, raft->options.drift_ppm) + 1;
 }
 
-static void raft_window(const struct raft *raft, const struct raft_peer *peer,
-			struct raft_message *message)
+static void raft_select_entries(const struct raft *raft,
+				const struct raft_peer *peer,
+				struct raft_message *message)
 {
-	int64_t limit = raft_feed_limit(raft);
+	int64_t limit = raft_replication_limit(raft);
 	int64_t index = peer->next;
 	int64_t bytes = 0;
 
@@ -74,20 +75,20 @@
 		.log_term = raft_log_term(&raft->log, peer->next - 1),
 		.commit = raft->commit,
 		.sent_us = now_us,
-		.echo_us = peer->their_us,
+		.echo_us = peer->peer_clock_us,
 		.age_us = raft_quorum_age(raft, now_us),
 		.leader = raft->leader,
-		.flags = raft->role == RAFT_LEADER ? 0 : RAFT_FED,
+		.flags = raft->role == RAFT_LEADER ? 0 : RAFT_RELAYED,
 	};
 
 	if (with_entries)
-		raft_window(raft, peer, &message);
+		raft_select_entries(raft, peer, &message);
 	raft_send(raft, peer->id, &message, effects);
 	peer->sent_us = now_us;
 	if (!message.n_entries)
 		return;
-	peer->loaded_us = now_us;
-	peer->flight[peer->n_flight++] =
+	peer->data_sent_us = now_us;
+	peer->inflight[peer->n_inflight++] =
 		message.index + (int64_t)message.n_entries;
 	if (!peer->probing)
 		peer->next += (int64_t)message.n_entries;
@@ -98,17 +99,18 @@
 {
 	int limit = peer->probing ? 1 : raft->options.max_inflight;
 
-	return peer->n_flight < limit && peer->next <= raft_feed_limit(raft);
+	return peer->n_inflight < limit &&
+	       peer->next <= raft_replication_limit(raft);
 }
 
 /** Send what a peer lacks; an empty message too if it is due one. */
 void raft_feed(struct raft *raft, struct raft_peer *peer, bool heartbeat,
 	       int64_t now_us, struct effects *effects)
 {
-	if (!peer->up || !peer->feeding)
+	if (!peer->up || !peer->replicating)
 		return;
-	if (peer->next > raft_feed_limit(raft) + 1)
-		peer->next = raft_feed_limit(raft) + 1;
+	if (peer->next > raft_replication_limit(raft) + 1)
+		peer->next = raft_replication_limit(raft) + 1;
 	if (raft_log_term(&raft->log, peer->next - 1) < 0) {
 		raft_send_chunk(raft, peer, now_us, effects);
 		return;
@@ -127,30 +129,30 @@
  * hundreds of them each get every entry, and most of what they get needn't
  * be there at once.
  */
-void raft_feed_all(struct raft *raft, bool notice, int64_t now_us,
-		   struct effects *effects)
+void raft_replicate_all(struct raft *raft, bool notice, int64_t now_us,
+			struct effects *effects)
 {
 	struct raft_peer *peer;
 
 	list_foreach(peer, &raft->peers, node) {
-		bool idle = notice && !peer->n_flight;
+		bool idle = notice && !peer->n_inflight;
 
-		if (peer->votes || peer->probing ||
+		if (peer->is_voter || peer->probing ||
 		    now_us - peer->sent_us >=
 			    raft->options.learner_heartbeat_us)
 			raft_feed(raft, peer, idle, now_us, effects);
 	}
 }
 
-void raft_note_answer(struct raft_peer *peer,
-		      const struct raft_message *message, int64_t now_us)
+void raft_record_answer(struct raft_peer *peer,
+			const struct raft_message *message, int64_t now_us)
 {
 	if (message->echo_us > now_us)
 		return;
-	if (message->echo_us > peer->answered_us)
-		peer->answered_us = message->echo_us;
-	if (!peer->failed && message->echo_us > peer->acked_us)
-		peer->acked_us = message->echo_us;
+	if (message->echo_us > peer->last_answered_us)
+		peer->last_answered_us = message->echo_us;
+	if (!peer->disk_failed && message->echo_us > peer->last_acked_us)
+		peer->last_acked_us = message->echo_us;
 }
 
 /**
@@ -158,33 +160,33 @@
  * message was lost. A timeout would send a large entry again while it is still
  * on its way over a slow link, and delay it further.
  */
-bool raft_has_lost(const struct raft_peer *peer)
+bool raft_last_send_was_lost(const struct raft_peer *peer)
 {
-	return peer->answered_us > peer->loaded_us;
+	return peer->last_answered_us > peer->data_sent_us;
 }
 
 /** After a loss the peer's log is probed anew from what it is known to hold. */
 static void raft_check_progress(struct raft_peer *peer)
 {
-	if (!peer->n_flight || !raft_has_lost(peer))
+	if (!peer->n_inflight || !raft_last_send_was_lost(peer))
 		return;
-	peer->n_flight = 0;
+	peer->n_inflight = 0;
 	peer->probing = true;
-	if (peer->held + 1 < peer->next && peer->held)
-		peer->next = peer->held + 1;
+	if (peer->received + 1 < peer->next && peer->received)
+		peer->next = peer->received + 1;
 }
 
-void raft_tick_feeding(struct raft *raft, int64_t now_us,
-		       struct effects *effects)
+void raft_tick_replication(struct raft *raft, int64_t now_us,
+			   struct effects *effects)
 {
 	struct raft_peer *peer;
 
 	list_foreach(peer, &raft->peers, node) {
 		int64_t interval_us =
-			peer->votes ? raft->options.heartbeat_us
-				    : raft->options.learner_heartbeat_us;
+			peer->is_voter ? raft->options.heartbeat_us
+				       : raft->options.learner_heartbeat_us;
 
-		if (!peer->feeding)
+		if (!peer->replicating)
 			continue;
 		raft_check_progress(peer);
 		if (now_us - peer->sent_us >= interval_us)
@@ -192,7 +194,7 @@
 	}
 }
 
-static int raft_compare_down(const void *a, const void *b)
+static int raft_compare_descending(const void *a, const void *b)
 {
 	int64_t left = *(const int64_t *)a;
 	int64_t right = *(const int64_t *)b;
@@ -212,11 +214,11 @@
 	if (raft_can_vote(raft))
 		values[n++] = own;
 	list_foreach(peer, &raft->peers, node)
-		if (peer->votes)
-			values[n++] = times ? peer->acked_us : peer->match;
+		if (peer->is_voter)
+			values[n++] = times ? peer->last_acked_us : peer->match;
 	while (n < voters)
 		values[n++] = times ? RAFT_NEVER : 0;
-	qsort(values, (size_t)n, sizeof(*values), raft_compare_down);
+	qsort(values, (size_t)n, sizeof(*values), raft_compare_descending);
 	return values[members_quorum(voters) - 1];
 }
 
@@ -253,32 +255,32 @@
 		return;
 	raft->counters.entries_committed += commit - raft->commit;
 	raft->commit = commit;
-	raft_feed_all(raft, true, now_us, effects);
+	raft_replicate_all(raft, true, now_us, effects);
 	if (raft->members_index <= commit && !raft_is_voter(raft))
 		raft_become_follower(raft, raft->term, 0, now_us, effects);
 }
 
-static void raft_take_held(struct raft_peer *peer, int64_t held)
+static void raft_update_received(struct raft_peer *peer, int64_t held)
 {
 	int kept = 0;
 	int i;
 
-	if (held > peer->held)
-		peer->held = held;
-	for (i = 0; i < peer->n_flight; i++)
-		if (peer->flight[i] > held)
-			peer->flight[kept++] = peer->flight[i];
-	peer->n_flight = kept;
+	if (held > peer->received)
+		peer->received = held;
+	for (i = 0; i < peer->n_inflight; i++)
+		if (peer->inflight[i] > held)
+			peer->inflight[kept++] = peer->inflight[i];
+	peer->n_inflight = kept;
 	if (peer->next <= held)
 		peer->next = held + 1;
 }
 
 /** The peer's log differs at our last guess; it names where to go on. */
-static void raft_take_rejection(struct raft_peer *peer,
-				const struct raft_message *message)
+static void raft_handle_rejection(struct raft_peer *peer,
+				  const struct raft_message *message)
 {
 	peer->probing = true;
-	peer->n_flight = 0;
+	peer->n_inflight = 0;
 	if (message->index + 1 < peer->next)
 		peer->next = message->index + 1;
 	if (peer->next <= peer->match)
@@ -293,28 +295,28 @@
 		raft_become_follower(raft, message->term, 0, now_us, effects);
 		return;
 	}
-	peer->failed = message->flags & RAFT_DISK_LOST;
+	peer->disk_failed = message->flags & RAFT_DISK_HAS_FAILED;
 	peer->applied = message->applied;
-	peer->their_us = message->sent_us;
-	peer->below = false;
-	raft_take_reports(raft, message, now_us);
-	if (!peer->feeding ||
+	peer->peer_clock_us = message->sent_us;
+	peer->reported_by_child = false;
+	raft_apply_reports(raft, message, now_us);
+	if (!peer->replicating ||
 	    (raft->role == RAFT_LEADER && message->term != raft->term))
 		return;
-	raft_note_answer(peer, message, now_us);
+	raft_record_answer(peer, message, now_us);
 	if (message->flags & RAFT_REJECTED) {
-		raft_take_rejection(peer, message);
-	} else if (message->held) {
+		raft_handle_rejection(peer, message);
+	} else if (message->received) {
 		if (message->match > peer->match)
 			peer->match = message->match;
-		raft_take_held(peer, message->held);
+		raft_update_received(peer, message->received);
 		peer->probing = false;
 	}
 	if (raft->role == RAFT_LEADER) {
 		raft_renew_lease(raft, now_us);
 		raft_advance_commit(raft, now_us, effects);
 	}
-	if (peer->votes || message->flags & RAFT_REJECTED ||
+	if (peer->is_voter || message->flags & RAFT_REJECTED ||
 	    raft_may_send_entries(raft, peer))
 		raft_feed(raft, peer, false, now_us, effects);
 }
--- a/libfilberthall/agree/raft_snapshot.c
+++ b/libfilberthall/agree/raft_snapshot.c
@@ -114,9 +114,9 @@
 		.log_term = raft->snapshot_term,
 		.total = (int64_t)raft->snapshot.len,
 		.sent_us = now_us,
-		.echo_us = peer->their_us,
+		.echo_us = peer->peer_clock_us,
 		.leader = raft->leader,
-		.flags = raft->role == RAFT_LEADER ? 0 : RAFT_FED,
+		.flags = raft->role == RAFT_LEADER ? 0 : RAFT_RELAYED,
 	};
 	int64_t len = raft->options.chunk_bytes;
 
@@ -131,7 +131,7 @@
 	if (len > message.total - peer->snapshot_offset)
 		len = message.total - peer->snapshot_offset;
 	/* Without data it is a heartbeat. */
-	if (peer->chunk_sent && !raft_has_lost(peer))
+	if (peer->chunk_sent && !raft_last_send_was_lost(peer))
 		len = 0;
 	message.offset = peer->snapshot_offset;
 	message.data = raft->snapshot.data + message.offset;
@@ -140,7 +140,7 @@
 	peer->sent_us = now_us;
 	if (!len)
 		return;
-	peer->loaded_us = now_us;
+	peer->data_sent_us = now_us;
 	peer->chunk_sent = true;
 }
 
@@ -152,10 +152,10 @@
 		raft_become_follower(raft, message->term, 0, now_us, effects);
 		return;
 	}
-	if (!peer->feeding ||
+	if (!peer->replicating ||
 	    (raft->role == RAFT_LEADER && message->term != raft->term))
 		return;
-	raft_note_answer(peer, message, now_us);
+	raft_record_answer(peer, message, now_us);
 	if (message->index != peer->snapshot_index ||
 	    message->offset == peer->snapshot_offset ||
 	    message->offset > (int64_t)raft->snapshot.len)
@@ -168,7 +168,7 @@
 	}
 	peer->next = message->index + 1;
 	peer->snapshot_index = 0;
-	peer->n_flight = 0;
+	peer->n_inflight = 0;
 	raft_feed(raft, peer, true, now_us, effects);
 }
 
@@ -236,10 +236,10 @@
 			    const struct raft_message *message, int64_t now_us,
 			    struct effects *effects)
 {
-	if (message->flags & RAFT_FED) {
-		if (!raft_takes_fed(raft, peer))
+	if (message->flags & RAFT_RELAYED) {
+		if (!raft_accepts_relayed(raft, peer))
 			return false;
-		raft->feeder_heard_us = now_us;
+		raft->upstream_contact_us = now_us;
 		return true;
 	}
 	if (message->term < raft->term || raft->role == RAFT_LEADER)
@@ -248,10 +248,10 @@
 	    raft->leader != peer->id)
 		raft_become_follower(raft, message->term, peer->id, now_us,
 				     effects);
-	raft->outcast = false;
-	raft->last_leader_us = now_us;
-	raft->feeder = peer->id;
-	raft->feeder_heard_us = now_us;
+	raft->removed = false;
+	raft->leader_contact_us = now_us;
+	raft->upstream = peer->id;
+	raft->upstream_contact_us = now_us;
 	raft_reset_election(raft, now_us);
 	return true;
 }
--- a/libfilberthall/agree/raft_view.c
+++ b/libfilberthall/agree/raft_view.c
@@ -21,12 +21,12 @@
 
 bool raft_is_voter(const struct raft *raft)
 {
-	return raft->self_votes;
+	return raft->self_is_voter;
 }
 
 bool raft_disk_has_failed(const struct raft *raft)
 {
-	return raft->failed;
+	return raft->disk_failed;
 }
 
 int64_t raft_term(const struct raft *raft)
@@ -122,7 +122,7 @@
 
 	*members = raft->members.count;
 	list_foreach(peer, &raft->peers, node)
-		if (peer->member && peer->applied >= index)
+		if (peer->is_member && peer->applied >= index)
 			applied++;
 	return applied;
 }
--- a/tests/agree/t-raft-silence.c
+++ b/tests/agree/t-raft-silence.c
@@ -25,7 +25,7 @@
 		.kind = RAFT_APPEND_REPLY,
 		.term = 3,
 		.match = raft_last_index(bed->raft),
-		.held = raft_last_index(bed->raft),
+		.received = raft_last_index(bed->raft),
 		.echo_us = echo_us,
 	};
 
--- a/tests/agree/t-raft.c
+++ b/tests/agree/t-raft.c
@@ -6,7 +6,7 @@
 static int64_t commit_of_old_term(enum raft_mutant mutant)
 {
 	struct raft_message reply = {
-		.kind = RAFT_APPEND_REPLY, .term = 3, .match = 2, .held = 2
+		.kind = RAFT_APPEND_REPLY, .term = 3, .match = 2, .received = 2
 	};
 	struct effects effects;
 	struct raft *raft;
@@ -59,7 +59,7 @@
 	effects_clear(&effects);
 	bed_deliver(raft, 2, append, 20, &effects);
 	g_assert_true(bed_take_sent(&effects, RAFT_APPEND_REPLY, &reply));
-	g_assert_cmpint(reply.flags, ==, RAFT_DISK_LOST);
+	g_assert_cmpint(reply.flags, ==, RAFT_DISK_HAS_FAILED);
 	g_assert_cmpint(raft_commit_index(raft), ==, 2);
 	raft_synced(raft, 1, 30, &effects);
 	bed_deliver(raft, 3, vote, 9 * SECOND, &effects);
@@ -137,7 +137,7 @@
 	struct raft_message reply = { .kind = RAFT_APPEND_REPLY,
 				      .term = 3,
 				      .match = 3,
-				      .held = 3,
+				      .received = 3,
 				      .echo_us = 3 * SECOND };
 	struct raft_committed committed;
 	struct effects effects;
@@ -180,19 +180,19 @@
 				    .commit = 1,
 				    .age_us = 1,
 				    .leader = 3,
-				    .flags = RAFT_FED };
+				    .flags = RAFT_RELAYED };
 	struct raft *raft = bed_restored(RAFT_MUTANT_NONE, true);
 	struct raft_message reply;
 	struct effects effects;
 
 	effects_init(&effects);
-	raft->self_votes = false;
-	raft->feeder = 2;
+	raft->self_is_voter = false;
+	raft->upstream = 2;
 	raft_peer_up(raft, 2, 0, &effects);
 	effects_clear(&effects);
 	bed_deliver(raft, 2, fed, 10, &effects);
 	g_assert_true(bed_take_sent(&effects, RAFT_APPEND_REPLY, &reply));
-	g_assert_cmpint(reply.held, ==, 1);
+	g_assert_cmpint(reply.received, ==, 1);
 	g_assert_cmpint(raft_commit_index(raft), ==, 1);
 	raft_free(raft);
 }
@@ -255,7 +255,7 @@
 static void leader_hands_over_and_gives_up_its_lease(void)
 {
 	struct raft_message reply = {
-		.kind = RAFT_APPEND_REPLY, .term = 3, .match = 3, .held = 3
+		.kind = RAFT_APPEND_REPLY, .term = 3, .match = 3, .received = 3
 	};
 	struct raft_message sent;
 	struct effects effects;
@@ -297,7 +297,7 @@
 			 enum result codes[2])
 {
 	struct raft_message reply = {
-		.kind = RAFT_APPEND_REPLY, .term = 3, .match = 3, .held = 3
+		.kind = RAFT_APPEND_REPLY, .term = 3, .match = 3, .received = 3
 	};
 	struct effects effects;
 	struct raft *raft;
