--- a/libfilberthall/agree/admin.c
+++ b/libfilberthall/agree/admin.c
@@ -36,7 +36,7 @@
 					  limit > 0 ? (size_t)limit : 0));
 }
 
-/* Keys that this operator may change. */
+/* The keys that an operator may change. */
 struct admin_key_list {
 	const struct settings *settings;
 	const struct key *by;
@@ -120,7 +120,7 @@
 				    error.position);
 	if (!json_is_object(*args))
 		return error_report(handler, RESULT_BAD_REQUEST,
-				    "arguments: no object");
+				    "arguments: not a JSON object");
 	return RESULT_OK;
 }
 
@@ -132,7 +132,7 @@
 				    result_text(RESULT_KEY_UNKNOWN));
 	if (!key->operates)
 		return error_report(handler, RESULT_PATH_FORBIDDEN,
-				    "this key is no operator's");
+				    "this is not an operator's key");
 	return RESULT_OK;
 }
 
--- a/libfilberthall/agree/admin.h
+++ b/libfilberthall/agree/admin.h
@@ -11,7 +11,7 @@
 #include "core/event.h"
 
 /**
- * Operators' commands on settings and keys, so that reducer and command
+ * Operators' commands on settings and keys, so that the reducer and the command
  * line needn't know their arguments. Arguments (JSON):
  *
  *	settings-set	 path, value, [version], [change_id]
@@ -27,26 +27,27 @@
  *	key-withdraw	 id, [change_id]
  *	key-list	 [organisation]
  *
- * `path` of a write may name one field of an object: path/FIELD. Files of
- * YAML are read by the command line (agree/yaml.h), not here: a parser that
- * hangs on an operator's text would hang the one thread that decides.
+ * `path` of a write may name one field of an object: path/FIELD. YAML files are
+ * parsed by the command line (agree/yaml.h), not here: a parser that hangs on
+ * an operator's input would hang the only thread of the reducer.
  */
 
-/** What kind of command a name is. */
+/** The kind of a command. */
 enum admin_kind {
-	ADMIN_OTHER, /**< not of settings or keys */
-	ADMIN_READ,  /**< admin_read() answers it on any daemon */
-	ADMIN_WRITE  /**< goes through the log: admin_entry() */
+	ADMIN_OTHER, /**< not a command on settings or keys */
+	ADMIN_READ,  /**< read-only: any daemon answers it with admin_read() */
+	ADMIN_WRITE  /**< goes through the log, see admin_entry() */
 };
 
 enum admin_kind admin_kind(const char *command);
 
 /**
- * Check and build the entry of a writing command. The operator's key is
- * checked (again at apply). `ticket` of `head` comes back in struct apply_result.
+ * Check a writing command and build its entry. The operator's key is checked
+ * here, and again when the entry is applied. `head->ticket` is returned in
+ * struct apply_result.
  *
- * Returns RESULT_OK and appends the entry to `out`, or an error whose
- * message goes to `handler`.
+ * Returns RESULT_OK and appends the entry to `out`, or an error whose message
+ * goes to `handler`.
  */
 enum result admin_entry(const struct agreed *agreed, const char *command,
 			const struct bytes *args, const struct key *key,
@@ -55,9 +56,9 @@
 
 /**
  * Answer a reading command from this daemon's state. Keys outside the
- * operator's subtree are left out; settings may be read by all operators.
+ * operator's subtree are omitted; all operators may read the settings.
  *
- * Returns the code and a new JSON object with "code" and "name".
+ * Returns the code, and in `answer` a new JSON object with "code" and "name".
  */
 enum result admin_read(const struct agreed *agreed, const char *command,
 		       const struct bytes *args, const struct key *key,
--- a/libfilberthall/agree/agreed.h
+++ b/libfilberthall/agree/agreed.h
@@ -10,8 +10,8 @@
 #include "usage/window.h"
 
 /**
- * Inside of the agreed state, shared by apply.c, apply_admin.c and
- * snapshot.c; no one else includes it.
+ * Internals of the agreed state, shared by apply.c, apply_admin.c and
+ * snapshot.c; not for other modules.
  */
 struct agreed {
 	struct settings *settings;
@@ -21,27 +21,27 @@
 	struct order_book *orders;
 	struct resends *resends;
 	int64_t index;
-	int64_t time_us; /**< log time: never goes back */
+	int64_t time_us; /**< log time, never goes back */
 };
 
-/** An entry once it is read. Text is borrowed from `body`'s owner. */
+/** A decoded entry. Strings are borrowed from the decoded JSON value. */
 struct entry {
 	struct entry_head head;
 	const char *kind;
 	json_t *body;
 };
 
-/** Note a change for the reducer. */
+/** Record a change for the reducer. */
 void apply_result_add_change(struct apply_result *result, enum change_kind kind,
 			     const char *name, int64_t number, bool removed);
 
-/** Operators' commands: kind "admin", and "seed". */
+/** Apply entries of the kinds "admin" and "seed". */
 void agreed_apply_admin(struct agreed *agreed, const struct entry *entry,
 			struct apply_result *result);
 void agreed_apply_seed(struct agreed *agreed, const struct entry *entry,
 		       struct apply_result *result);
 
-/** Take over the bounds of claims from the settings. */
+/** Set the limits of claims from the settings. */
 void agreed_set_limits(struct agreed *agreed);
 
 #endif
--- a/libfilberthall/agree/apply.c
+++ b/libfilberthall/agree/apply.c
@@ -116,7 +116,7 @@
 	list_init(&applied->changes);
 }
 
-/* Read one operation; its text is borrowed from `item`. */
+/* Read one operation; its strings are borrowed from `item`. */
 static bool apply_read_claim_op(json_t *item, struct claim_op *op)
 {
 	json_int_t ticket;
@@ -167,7 +167,7 @@
 					op->verb == CLAIM_VERB_RELEASE);
 }
 
-/* A batch is carried out whole or, if any of it can't be read, not at all. */
+/* Apply a whole batch, or nothing if any operation can't be read. */
 static void apply_claims(struct agreed *agreed, const struct entry *entry,
 			 struct apply_result *result)
 {
@@ -305,9 +305,9 @@
 }
 
 /*
- * Log time follows the proposers' clocks, but never back, and by a bounded
- * step an entry: a VM whose clock leaps ahead can't make every claim look a
- * day old, which would let requests run a second time.
+ * Log time follows the proposers' clocks. It never goes back, and advances by a
+ * limited step per entry: a VM whose clock jumps ahead can't make every claim
+ * look a day old, which would let requests run a second time.
  */
 static void apply_move_time(struct agreed *agreed, int64_t time_us)
 {
--- a/libfilberthall/agree/apply_admin.c
+++ b/libfilberthall/agree/apply_admin.c
@@ -8,7 +8,7 @@
 #include "base/alloc.h"
 #include "base/cleanup.h"
 
-/* One operator's command while it is carried out. */
+/* An operator's command that is being applied. */
 struct command {
 	struct agreed *agreed;
 	const struct key *by;
@@ -33,7 +33,7 @@
 				     const char *path)
 {
 	return error_report(&command->handler, RESULT_PATH_FORBIDDEN,
-			    "%s: your key reaches \"%s\" only", path,
+			    "%s: your key is limited to \"%s\"", path,
 			    command->by->subtree);
 }
 
@@ -45,7 +45,7 @@
 	return command_forbidden(command, path);
 }
 
-/* What the reducer hears of a path that was changed. */
+/* Record a changed path for the reducer. */
 static void command_note_path(struct command *command, const char *path)
 {
 	static const enum change_kind kinds[RULE_KINDS] = {
@@ -105,7 +105,7 @@
 	return code;
 }
 
-/* A change of the one path in the arguments; NULL deletes. */
+/* Change the path in the arguments; JSON null deletes it. */
 static enum result command_change_one(struct command *command, json_t *value)
 {
 	const char *path = codec_text(command->args, "path", "");
@@ -133,7 +133,7 @@
 	return command_change_one(command, value);
 }
 
-/* Whether a path, or a field below one, is set. */
+/* Whether a path, or a field of its object, is set. */
 static bool command_is_set(const struct command *command, const char *path)
 {
 	size_t len = schema_object_length(path);
@@ -153,7 +153,7 @@
 
 	if (schema_object_length(path) && !command_is_set(command, path))
 		return error_report(&command->handler, RESULT_NOT_FOUND,
-				    "%s: isn't set", path);
+				    "%s is not set", path);
 	nothing = json_null();
 	code = command_change_one(command, nothing);
 	json_decref(nothing);
@@ -194,7 +194,10 @@
 	return code;
 }
 
-/* Who may grant or change a key: who reaches all that it is good for. */
+/*
+ * An operator may grant or change a key only if the operator's own key covers
+ * everything that this key permits.
+ */
 static enum result command_check_scope(const struct command *command,
 				       const char *organisation, bool operates,
 				       const char *subtree)
@@ -271,7 +274,7 @@
 	return code;
 }
 
-/* The key named in the arguments, if this operator may change it. */
+/* Find the key named in the arguments, if this operator may change it. */
 static enum result command_find_key(const struct command *command,
 				    const struct key **key)
 {
@@ -385,8 +388,9 @@
 }
 
 /*
- * The operator sends a command again because its answer was lost: give the
- * first result, whatever has changed since. Returns whether it was one.
+ * If the operator sends a command again because the answer was lost, return the
+ * first result, whatever has changed since. Returns whether the command was
+ * handled here: a resend, or a reused change id.
  */
 static bool command_is_resend(struct command *command, const char *name)
 {
@@ -416,8 +420,8 @@
 }
 
 /*
- * Values that aren't valid text would stop the JSON answers in which they
- * are shown; nothing that an operator's command needs looks like that.
+ * Strings that aren't valid UTF-8 would make it impossible to show the values
+ * in JSON answers; no legitimate command needs them.
  */
 static bool command_is_text(const json_t *body)
 {
--- a/libfilberthall/agree/claim.c
+++ b/libfilberthall/agree/claim.c
@@ -8,9 +8,9 @@
 #include "base/alloc.h"
 
 /*
- * Members whose gone incarnations are remembered. Only an entry that was
- * under way when its member was declared gone needs the memory, and that is
- * over within seconds; 1,024 members are days of restarts.
+ * Number of members whose gone incarnations are remembered. Only an entry that
+ * was in transit when its member was declared gone needs this, for a few
+ * seconds; 1,024 members cover days of restarts.
  */
 #define CLAIM_MEMBERS 1024
 
@@ -221,8 +221,9 @@
 }
 
 /*
- * An OPEN of an owner that was declared gone was under way when it fell
- * silent. Were it accepted, the claim would stay SENT with no one to end it.
+ * CLAIM_VERB_OPEN of an owner that was declared gone was in transit when the
+ * owner was lost. If it were accepted, the claim would stay SENT, with no owner
+ * to finish it.
  */
 static enum result claims_open(struct claims *claims,
 			       const struct claim_owner *owner,
@@ -280,7 +281,7 @@
 	return RESULT_OK;
 }
 
-/* Answers beyond the bound go, oldest first; the marks stay. */
+/* Drop the oldest answers beyond the limit; their claims stay. */
 static void claims_bound_answers(struct claims *claims)
 {
 	struct claim_entry *entry;
--- a/libfilberthall/agree/claim_save.c
+++ b/libfilberthall/agree/claim_save.c
@@ -27,7 +27,7 @@
 	msgpack_pack_str_body(packer, text, len);
 }
 
-/* In the order in which claim_load() unpacks it. */
+/* The order of the fields must match claim_load(). */
 static void claim_pack(msgpack_packer *packer, const struct claim *claim)
 {
 	msgpack_pack_array(packer, 9);
--- a/libfilberthall/agree/claim_state.h
+++ b/libfilberthall/agree/claim_state.h
@@ -5,10 +5,7 @@
 #include "base/list.h"
 #include "base/map.h"
 
-/**
- * Inside of the claims, shared by claim.c and claim_save.c; no one else
- * includes it.
- */
+/** Internals shared by claim.c and claim_save.c; not for other modules. */
 struct claim_entry {
 	struct map_node node;
 	struct list age;  /**< in claims.by_age, oldest change first */
@@ -19,7 +16,7 @@
 	char *body;
 };
 
-/* Incarnations of a member up to `gone` are gone. */
+/* All incarnations of `member` up to `gone` are gone. */
 struct claim_member {
 	struct map_node node;
 	uint64_t member;
@@ -38,16 +35,16 @@
 struct claim_entry *claims_find_entry(const struct claims *claims,
 				      const char *id);
 
-/** A new claim; claim_touch() gives it state and age. */
+/** Add a claim; claim_set_state() must follow. */
 struct claim_entry *claim_add(struct claims *claims, const char *id,
 			      const char *body_hash,
 			      const struct claim_owner *owner);
 
-/** Set the state, and the age anew. */
+/** Set the state, and the time of the change. */
 void claim_touch(struct claims *claims, struct claim_entry *entry,
 		 enum claim_state state, int64_t time_us);
 
-/** Status and content type of the answer. */
+/** Set the status and content type of the answer. */
 void claim_set_head(struct claim_entry *entry, int64_t http_status,
 		    const char *content_type);
 
@@ -55,7 +52,7 @@
 void claim_keep_body(struct claims *claims, struct claim_entry *entry,
 		     const char *body, size_t len);
 
-/** Note that an incarnation and those before it are gone. */
+/** Record that an incarnation and those before it are gone. */
 void claims_remember_gone(struct claims *claims,
 			  const struct claim_owner *owner);
 
--- a/libfilberthall/agree/codec.c
+++ b/libfilberthall/agree/codec.c
@@ -81,11 +81,12 @@
 	codec_pack(&packer, value);
 }
 
-/* Size of what follows the first byte of an item, and its parts. */
+/* The layout of a msgpack item, as its first byte defines it. */
 struct codec_item {
-	size_t size_bytes; /**< length of the count that follows */
-	size_t fixed;	   /**< payload or count known from the first byte */
-	int parts;	   /**< items each count stands for; 0: bytes */
+	size_t size_bytes; /**< size of the count after the first byte */
+	size_t fixed;	   /**< payload size or count, if the first byte
+	             	   gives it */
+	int parts;	   /**< items per count; 0 if the count is in bytes */
 };
 
 static bool codec_small_item(unsigned char first, struct codec_item *item)
@@ -129,10 +130,10 @@
 
 /*
  * The library allocates an array as soon as it has read its length, so a
- * damaged or hostile message of five bytes could ask for gigabytes. Walk the
- * lengths first: each item needs at least one byte, so no count may exceed
- * the bytes that are left. Returns the size of the first item, 0 if it isn't
- * whole.
+ * damaged or malicious message of five bytes could make it allocate gigabytes.
+ * So the lengths are checked first: each item needs at least one byte, so no
+ * count may exceed the remaining bytes. Returns the size of the first item, 0
+ * if it isn't complete.
  */
 static size_t codec_item_size(const unsigned char *data, size_t len)
 {
@@ -167,13 +168,13 @@
 
 static json_t *codec_value(const msgpack_object *object);
 
-/* The library gives NULL for an empty string that is a message's first. */
+/* The library returns NULL for an empty string at the start of a message. */
 static const char *codec_str(const msgpack_object *object)
 {
 	return object->via.str.size ? object->via.str.ptr : "";
 }
 
-/* Whether an object is text that a C string can hold. */
+/* Whether an object is a string without NUL. */
 static bool codec_is_name(const msgpack_object *object)
 {
 	return object->type == MSGPACK_OBJECT_STR &&
--- a/libfilberthall/agree/cross.c
+++ b/libfilberthall/agree/cross.c
@@ -5,8 +5,8 @@
 #include "agree/setting.h"
 
 /*
- * Half of all dispatches stays free of guarantees: otherwise a burst of the
- * highest tier would wait behind guaranteed work of lower ones.
+ * At most half of all dispatches may be guaranteed: otherwise a burst in the
+ * highest tier would wait behind guaranteed work of lower tiers.
  */
 #define CROSS_SHARE_LIMIT 0.5
 #define CROSS_SHARE_ROUNDING 1e-9
@@ -27,7 +27,7 @@
 	return fault->code;
 }
 
-/* Requests name a class or service without its team: names must be unique. */
+/* Names must be unique: requests name a class or service without its team. */
 static enum result cross_check_names(const struct settings *settings,
 				     const struct setting_edit *edits, size_t n,
 				     struct schema_fault *fault)
--- a/libfilberthall/agree/key.c
+++ b/libfilberthall/agree/key.c
@@ -18,7 +18,7 @@
 	struct map_node by_id;
 	struct key key;
 	size_t bytes;
-	char block[]; /**< lists and text of `key` */
+	char block[]; /**< lists and strings of `key` */
 };
 
 struct keys {
@@ -102,7 +102,10 @@
 				     sizeof(struct map_node *);
 }
 
-/* Lays lists and text out behind a key; with no block it only counts. */
+/*
+ * Places the lists and strings of a key in one block. If `block` is NULL, it
+ * only computes the size.
+ */
 struct key_layout {
 	char *block;
 	size_t used;
@@ -212,11 +215,11 @@
 		return code;
 	if (keys_find_id(keys, codec_text(args, "id", "")))
 		return error_report(handler, RESULT_CONFLICT,
-				    "key: id \"%s\" is taken",
+				    "key: id \"%s\" is already in use",
 				    codec_text(args, "id", ""));
 	if (keys_find(keys, codec_text(args, "hash", "")))
 		return error_report(handler, RESULT_CONFLICT,
-				    "key: this secret is in use");
+				    "key: this secret is already in use");
 	keys_add(keys, args, index);
 	return RESULT_OK;
 }
@@ -244,7 +247,7 @@
 			 (json_int_t)key->version);
 }
 
-/* All fields, as keys_grant() takes them. */
+/* All fields of a key, in the format of keys_grant(). */
 static json_t *key_full(const struct key *key)
 {
 	json_t *full = key_describe(key);
@@ -289,7 +292,7 @@
 	return RESULT_OK;
 }
 
-/* Whether a list permits a name; an empty one permits all. */
+/* Whether a list permits a name; an empty list permits all. */
 static bool key_lists(const char **list, const char *name)
 {
 	if (!*list)
--- a/libfilberthall/agree/key_field.c
+++ b/libfilberthall/agree/key_field.c
@@ -8,7 +8,7 @@
 
 #define KEY_LIMIT_MAX 1000000000
 
-/* Fields of a key in JSON, and how each is checked. */
+/* The type of a key's JSON field. */
 enum key_field_kind { KEY_TEXT, KEY_FLAG, KEY_NUMBER, KEY_LIST };
 
 static const struct key_field {
@@ -54,7 +54,7 @@
 		if (json_is_string(value) &&
 		    json_string_length(value) <= field->max_len)
 			return NULL;
-		return "must be text, and not too long";
+		return "must be a string, and not too long";
 	case KEY_FLAG:
 		return json_is_boolean(value) ? NULL : "must be true or false";
 	case KEY_NUMBER:
--- a/libfilberthall/agree/key_field.h
+++ b/libfilberthall/agree/key_field.h
@@ -6,18 +6,18 @@
 #include "base/error.h"
 #include "base/result.h"
 
-/** Checks of a key's fields in JSON, as keys_grant() takes them. */
+/** Validation of a key's JSON fields, as passed to keys_grant(). */
 
 #define KEY_HASH_LEN 64
 
 /**
- * Each field must be known and of its type. Returns RESULT_OK, or
+ * Check that each field is known and has the right type. Returns RESULT_OK, or
  * RESULT_BAD_REQUEST with a message that names the field.
  */
 enum result key_check_fields(const json_t *args,
 			     const struct error_handler *handler);
 
-/** The same for "id" and "hash", which a new key must have. */
+/** Check "id" and "hash", which a new key must have. */
 enum result key_check_identity(const json_t *args,
 			       const struct error_handler *handler);
 
--- a/libfilberthall/agree/lease.c
+++ b/libfilberthall/agree/lease.c
@@ -19,8 +19,8 @@
 int64_t lease_stretch(int64_t us, int64_t drift_ppm)
 {
 	/*
-	 * One clock may run fast by drift_ppm and the other slow by as much;
-	 * rounded up, so that the bound is never short by a microsecond.
+	 * One clock may be fast by drift_ppm and the other slow by as much. The
+	 * result is rounded up so that it is never too short.
 	 */
 	return (us * (LEASE_MILLION + drift_ppm)) /
 		       (LEASE_MILLION - drift_ppm) +
@@ -40,8 +40,8 @@
 	lease->term = term;
 	lease->until_us = now_us;
 	/*
-	 * The one before may still hold its lease and have orders under way,
-	 * even if it handed leadership over by itself.
+	 * The previous leader may still hold its lease and have orders in
+	 * progress, even if it transferred leadership itself.
 	 */
 	lease->first_us = now_us + lease_stretch(lease->options.duration_us,
 						 lease->options.drift_ppm);
--- a/libfilberthall/agree/lease.h
+++ b/libfilberthall/agree/lease.h
@@ -5,38 +5,37 @@
 #include <stdint.h>
 
 /**
- * The one in charge: who may give orders to the platform and the engines and
- * send usage reports. The leader holds this lease; its term is the fencing
- * number.
+ * The lease of the leader. Its holder may give orders to the platform and the
+ * engines and send usage reports; its term is the fencing number.
  *
- * Failure answered: a leader is cut off silently, or stopped and continued,
- * and goes on giving orders while another one does too. Some receivers don't
- * check the fencing number, so the number alone doesn't help: servers would
- * be started, paid for or reported twice.
+ * Failure handled: a leader is partitioned, or paused and resumed, and goes on
+ * giving orders while another leader does too. Some receivers don't check the
+ * fencing number, so the number alone isn't enough: servers would be started,
+ * paid for or reported twice.
  *
- * Why it holds, without any promise by voters about time: an answer of a
- * quorum to what the holder sent at `quorum_us` was given before any later
- * leader was elected (one of that quorum had still to vote for it). So the
- * old lease ends at most `duration_us` of the old holder's clock after the
- * new election. The new holder waits that long on its own clock, stretched
- * for two clocks that drift apart, before its first order. An order is given
- * only if its own timeout and a margin for a pause between decision and
- * sending fit into what is left.
+ * Why it is safe without any promise by voters about time: a quorum's answers
+ * to what the holder sent at `quorum_us` were given before any later leader was
+ * elected, since one member of that quorum still had to vote for it. So the old
+ * lease ends at most `duration_us`, on the old holder's clock, after the new
+ * election. The new holder waits that long on its own clock, extended for the
+ * drift of two clocks, before its first order. An order is given only if its
+ * timeout, and a margin for a pause between decision and sending, fit into the
+ * rest of the lease.
  *
- * What it doesn't cover: a process stopped between its last look at the
- * clock and the write() to the socket. The edge looks again right before it
- * (lease_order_deadline), which leaves microseconds; a receiver that checks
- * the fencing number closes even that.
+ * Not covered: a process that is paused between its last look at the clock and
+ * the write() to the socket. The edge checks again right before the write
+ * (lease_order_deadline), which leaves microseconds; a receiver that checks the
+ * fencing number closes even that gap.
  *
- * An order to the platform takes up to a second, so 5 s of lease leave room
- * for a renewal lost or two. Monotonic clocks of VMs differ by less than
- * 500 ppm.
+ * An order to the platform takes up to a second, so 5 s of lease allow for one
+ * or two lost renewals. Monotonic clocks of VMs differ by less than 500 ppm.
  */
 struct lease_options {
-	int64_t duration_us; /**< lease from a confirmed quorum; 5 s */
-	int64_t margin_us;   /**< no order may end later than this before
-				  the end of the lease; 500 ms */
-	int64_t drift_ppm;   /**< bound on any clock's rate error */
+	int64_t duration_us; /**< from the time of a quorum's confirmation; 5
+	                     s */
+	int64_t margin_us;   /**< every order must end this long before the
+	                     lease does; 500 ms */
+	int64_t drift_ppm;   /**< maximum rate error of any clock */
 };
 
 struct lease {
@@ -47,34 +46,37 @@
 	int64_t first_us; /**< no order before this, holder's clock */
 };
 
-/** The defaults above. */
+/** The default options. */
 struct lease_options lease_default_options(void);
 
 void lease_init(struct lease *lease, const struct lease_options *options);
 
-/** This VM was elected in `term`: wait out whoever was before. */
+/**
+ * This VM was elected in `term`: wait until the previous holder's lease has
+ * ended.
+ */
 void lease_elected(struct lease *lease, int64_t term, int64_t now_us);
 
-/** A quorum answered to what was sent at `quorum_us` in the same term. */
+/** A quorum answered what was sent at `quorum_us` in the same term. */
 void lease_renew(struct lease *lease, int64_t quorum_us);
 
-/** No longer leader, or about to hand leadership over. */
+/** This VM is no longer leader, or starts a leadership transfer. */
 void lease_lost(struct lease *lease);
 
-/** Whether this VM is in charge now. */
+/** Whether this VM holds the lease now. */
 bool lease_valid(const struct lease *lease, int64_t now_us);
 
 /**
- * Whether an order or report that is given up after `timeout_us` may be sent
- * now. Its fencing number is `lease->term`.
+ * Whether an order or report with this timeout may be sent now. Its fencing
+ * number is `lease->term`.
  */
 bool lease_may_order(const struct lease *lease, int64_t timeout_us,
 		     int64_t now_us);
 
-/** Time on the holder's clock by which every order must be over. */
+/** Time on the holder's clock by which every order must have ended. */
 int64_t lease_order_deadline(const struct lease *lease);
 
-/** `us` of one clock, in the worst case on another clock. */
+/** A duration `us` on one clock, in the worst case on another clock. */
 int64_t lease_stretch(int64_t us, int64_t drift_ppm);
 
 #endif
--- a/libfilberthall/agree/order_book.c
+++ b/libfilberthall/agree/order_book.c
@@ -20,7 +20,7 @@
 	struct map by_id;
 	struct list settled;
 	size_t n_settled;
-	int64_t fence; /**< the highest of any order */
+	int64_t fence; /**< the highest fencing number of any order */
 };
 
 struct order_book *order_book_new(void)
@@ -96,7 +96,10 @@
 	entry->placed.address = new_address;
 }
 
-/* The fence tells who sends; the same order under a new one is no other. */
+/*
+ * Compare two orders. The fencing number only says who sends it: the same order
+ * with another number is equal.
+ */
 static bool order_is_same(const json_t *a, const json_t *b)
 {
 	json_t *left = json_copy((json_t *)a);
@@ -192,7 +195,10 @@
 			 (json_int_t)entry->placed.index);
 }
 
-/* Open ones by age, settled ones in the order in which they'll be dropped. */
+/*
+ * All orders, and the ids of the settled ones in the order in which they will
+ * be dropped.
+ */
 json_t *order_book_save(const struct order_book *book)
 {
 	const struct order_entry *entry;
--- a/libfilberthall/agree/order_book.h
+++ b/libfilberthall/agree/order_book.h
@@ -8,16 +8,16 @@
 #include "base/result.h"
 
 /**
- * Orders to the platform and to engines as the log has them. An order is
+ * The orders to the platform and to engines that are in the log. An order is
  * placed here before it is sent.
  *
- * Failure answered: the one in charge is replaced after it sent an order and
- * before anyone knew. The successor finds the order here, sends it again
- * under the same id (which does nothing if it had come through) and orders
- * no second one in its place.
+ * Failure handled: the lease holder is replaced after it sent an order and
+ * before anyone saw the outcome. The successor finds the order here, sends it
+ * again under the same id (which has no effect if it had arrived) and gives no
+ * second order instead.
  *
- * Bound: settled orders are kept for ORDER_BOOK_SETTLED further ones, so a
- * late answer still finds its order; open ones are never dropped.
+ * Limit: the last ORDER_BOOK_SETTLED settled orders are kept, so that a late
+ * answer still finds its order; open orders are never dropped.
  */
 #define ORDER_BOOK_SETTLED 512
 
@@ -27,7 +27,7 @@
 	const char *order_id;
 	const json_t *order; /**< verb, fence and arguments */
 	const char *state;   /**< "placed" until settled */
-	const char *address; /**< of the backend server, "" unknown */
+	const char *address; /**< of the backend server, "" if unknown */
 	int64_t placed_us;   /**< proposer's wall clock */
 	int64_t index;	     /**< log index */
 	bool settled;
@@ -37,18 +37,18 @@
 void order_book_free(struct order_book *book);
 
 /**
- * Place an order: an object with "order_id" and "fence". RESULT_OK also if
- * the same order is there; RESULT_CONFLICT if its id has another order;
- * RESULT_LEASE_LOST if a later holder's order was placed before: an entry of
- * the former one was late on its way into the log; RESULT_MESSAGE_MALFORMED
+ * Place an order, an object with "order_id" and "fence". Returns RESULT_OK,
+ * also if the same order is already placed; RESULT_CONFLICT if its id belongs
+ * to another order; RESULT_LEASE_LOST if an order of a later lease holder is
+ * already placed, since this entry was then delayed; RESULT_MESSAGE_MALFORMED
  * without an id.
  */
 enum result order_book_place(struct order_book *book, const json_t *order,
 			     int64_t time_us, int64_t index);
 
 /**
- * Say what became of it: "accepted" keeps it open (a server is starting),
- * any other state settles it. RESULT_NOT_FOUND without such an order.
+ * Set the outcome of an order: "accepted" keeps it open (a server is starting),
+ * any other state settles it. RESULT_NOT_FOUND if there is no such order.
  */
 enum result order_book_settle(struct order_book *book, const char *order_id,
 			      const char *state, const char *address);
--- a/libfilberthall/agree/raft.c
+++ b/libfilberthall/agree/raft.c
@@ -107,7 +107,7 @@
 	memset(saved, 0, sizeof(*saved));
 }
 
-/** A snapshot must name its configuration, or we can't know who votes. */
+/** A snapshot must contain the membership, or the voters would be unknown. */
 static bool raft_saved_snapshot_ok(const struct raft_persistent_state *saved)
 {
 	struct members members = { 0 };
@@ -171,7 +171,7 @@
 	members_encode(&members, &body);
 	raft_append_own(raft, RAFT_ENTRY_MEMBERS, body.data, body.len, effects);
 	bytes_clear(&body);
-	/* no earlier leader can count on us, so there's nothing to wait for */
+	/* no earlier leader can rely on our vote, so no wait is needed */
 	raft->leader_contact_us = RAFT_NEVER;
 	raft->election_at_us = now_us;
 	raft_finish(raft, now_us, effects);
@@ -209,7 +209,7 @@
 	if (quorum_us < raft->elected_us)
 		quorum_us = raft->elected_us;
 	if (now_us - quorum_us >= raft->options.election_us) {
-		raft_say(effects, LOG_WARN, "no quorum answers");
+		raft_say(effects, LOG_WARN, "no quorum: stepping down");
 		raft_become_follower(raft, raft->term, 0, now_us, effects);
 		return;
 	}
@@ -219,7 +219,7 @@
 		raft_continue_transfer(raft, now_us, effects);
 }
 
-/** Removed meanwhile, and a feeder brings us what we missed. */
+/** Whether this member was removed and an upstream sends it what it missed. */
 static bool raft_has_upstream(const struct raft *raft, int64_t now_us)
 {
 	return raft->removed &&
@@ -227,8 +227,8 @@
 }
 
 /**
- * A leader that was paused heard nobody meanwhile: members that live would
- * count as silent until their first answers come.
+ * A leader that was paused received nothing meanwhile: live members would count
+ * as out of contact until their first answers arrive.
  */
 static void raft_detect_pause(struct raft *raft, int64_t now_us)
 {
@@ -294,9 +294,10 @@
 }
 
 /**
- * When the sender of a message lived. A message may have waited in a buffer
- * while this VM was paused, and its sender may be gone since; an answer proves
- * no more than that its sender lived when we sent what it answers.
+ * When the sender of a message was alive for certain. A message may have waited
+ * in a buffer while this VM was paused, and its sender may have died since. An
+ * answer proves only that its sender was alive when the message that it answers
+ * was sent.
  */
 static int64_t raft_contact_us(const struct raft_message *message,
 			       int64_t now_us)
@@ -317,7 +318,7 @@
 	if (!peer)
 		return;
 	if (!raft_message_decode(&message, data, len)) {
-		raft_say(effects, LOG_WARN, "malformed message of %llu",
+		raft_say(effects, LOG_WARN, "malformed message from %llu",
 			 (unsigned long long)peer_id);
 		return;
 	}
@@ -357,7 +358,7 @@
 		return;
 	peer->up = false;
 	peer->downstream = false;
-	/* A leader counts its silence from what it last said. */
+	/* A leader counts from the peer's last message instead. */
 	if (raft->role != RAFT_LEADER)
 		peer->last_contact_us = now_us;
 	peer->replicating =
@@ -421,8 +422,8 @@
 	if (raft->role != RAFT_LEADER || raft->transferring)
 		return;
 	/*
-	 * The lease goes first and doesn't come back in this term: the next
-	 * leader may be elected without waiting for it to run out.
+	 * The lease is given up first and not renewed in this term: the next
+	 * leader may be elected before it expires.
 	 */
 	raft->transferring = true;
 	raft->transfer_sent = false;
--- a/libfilberthall/agree/raft_disk.c
+++ b/libfilberthall/agree/raft_disk.c
@@ -7,9 +7,9 @@
 #include "core/event.h"
 
 /**
- * What of Raft touches the disk, and what waits for it. Each call that wrote
- * something ends with one EFFECT_LOG_SYNC; the disk thread serves many of
- * them by one sync.
+ * Disk writes, and the messages that wait for them. Each call that wrote
+ * something ends with one EFFECT_LOG_SYNC; the disk thread completes many of
+ * them with one sync.
  */
 
 static bool raft_writes(const struct raft *raft)
@@ -44,8 +44,8 @@
 }
 
 /**
- * Entries from `from` on are replaced. Syncs under way were for the old ones,
- * so they must not count for the new ones that take their place.
+ * Entries from `from` on are replaced. Pending syncs cover the old entries, so
+ * they must not make the new ones count as durable.
  */
 void raft_unsync(struct raft *raft, int64_t from)
 {
@@ -105,7 +105,7 @@
 	raft_send_bytes(raft, peer, &body, effects);
 }
 
-/** Send once all that this call has written so far is synced. */
+/** Send a message once all that has been written so far is synced. */
 void raft_send_after_sync(struct raft *raft, uint64_t peer,
 			  const struct raft_message *message,
 			  struct effects *effects)
@@ -152,7 +152,10 @@
 	}
 }
 
-/** All writes up to `ticket` are durable: say and count what waited. */
+/**
+ * All writes up to `ticket` are durable: send the deferred messages and count
+ * the votes and entries.
+ */
 static void raft_settle(struct raft *raft, int64_t ticket, int64_t now_us,
 			struct effects *effects)
 {
@@ -178,7 +181,7 @@
 		raft_acknowledge(raft, now_us, effects);
 }
 
-/** End of each call: one sync for all that it wrote. */
+/** At the end of each call: request one sync for all that it wrote. */
 void raft_finish(struct raft *raft, int64_t now_us, struct effects *effects)
 {
 	if (raft->disk_failed)
@@ -198,7 +201,9 @@
 			effects_add(effects, EFFECT_LOG_SYNC)
 				->u.log_sync.ticket = number;
 		}
-		/* nothing to wait for without a disk: settled and freed */
+		/*
+		 * without a disk nothing has to be synced; this frees `ticket`
+		 */
 		if (!raft->options.self.disk)
 			raft_settle(raft, number, now_us, effects);
 		switch (raft->options.mutant) {
@@ -240,7 +245,7 @@
 	raft->disk_failed = true;
 	raft_drop_waiting(raft);
 	raft_say(effects, LOG_ERROR,
-		 "%s: this VM votes and acknowledges nothing any more",
+		 "%s: this VM no longer votes or acknowledges entries",
 		 result_text(code));
 	if (raft->role != RAFT_FOLLOWER)
 		raft_become_follower(raft, raft->term, 0, now_us, effects);
--- a/libfilberthall/agree/raft_election.c
+++ b/libfilberthall/agree/raft_election.c
@@ -7,16 +7,17 @@
 }
 
 /**
- * Whether our vote may be asked for. Also before the entry that makes us a
- * voter has reached us: with a dead voter in the group, the candidate that
- * holds this entry may need just our vote, and nobody else can be elected.
+ * Whether this member may grant a vote. That includes the time before it has
+ * received the entry that makes it a voter: if another voter is dead, the
+ * candidate that holds this entry may need this very vote, and no other member
+ * can be elected.
  */
 static bool raft_may_grant_vote(const struct raft *raft)
 {
 	return raft->options.self.disk && !raft->disk_failed;
 }
 
-/** A random wait, so that two candidates seldom split the votes. */
+/** Restart the election timer at random, so that split votes are rare. */
 void raft_reset_election(struct raft *raft, int64_t now_us)
 {
 	int64_t election_us = raft->options.election_us;
@@ -36,10 +37,10 @@
 }
 
 /**
- * Under another leader or term (also the same leader's next one), only what
- * is committed is known to be in the leader's log too. If the rest counted as
- * confirmed, the leader's commit index would commit an entry that it has
- * replaced.
+ * Called when the leader or the term changes, also for a new term of the same
+ * leader: only committed entries are then known to be in the leader's log too.
+ * If later ones counted as confirmed, the leader's commit index could commit an
+ * entry that it has replaced.
  */
 void raft_reset_verified(struct raft *raft)
 {
@@ -79,12 +80,12 @@
 }
 
 /**
- * Whether a leader may still count on us: we are the leader, or heard it (or
- * started, which makes us forget whether we did) less than an election time
- * ago.
+ * Whether a leader may still rely on this member not to vote: it is the leader
+ * itself, or was in contact with one less than an election timeout ago. After a
+ * restart that contact is assumed.
  *
- * A vote given now could break its lease, and a member that comes back from
- * a partition with a higher term would depose a working leader.
+ * A vote given now could break the leader's lease, and a member that comes back
+ * from a partition with a higher term would depose a working leader.
  */
 static bool raft_leader_may_hold_lease(const struct raft *raft, int64_t now_us)
 {
@@ -94,7 +95,7 @@
 	       now_us - raft->leader_contact_us < raft->options.election_us;
 }
 
-/** A candidate whose log lacks what we hold may lack what is committed. */
+/** A candidate whose log is behind ours may lack committed entries. */
 static bool raft_candidate_log_is_current(const struct raft *raft,
 					  const struct raft_message *message)
 {
@@ -132,9 +133,9 @@
 }
 
 /**
- * Ask first whether others would vote for us. Without it a member that is
- * cut off raises its term again and again, and its return would depose the
- * leader.
+ * Pre-vote: ask whether others would vote for us. Without it a partitioned
+ * member raises its term again and again, and deposes the leader when it
+ * returns.
  */
 void raft_prevote(struct raft *raft, int64_t now_us, struct effects *effects)
 {
@@ -169,9 +170,9 @@
 
 	raft->repair_at_us = now_us + raft->options.election_us;
 	/*
-	 * Who had no link to us before either isn't given new time: a voter
-	 * that was gone for seconds, and a VM ready to take its place, would
-	 * wait once more at each change of leader.
+	 * Peers without a link aren't counted as in contact: otherwise the
+	 * replacement of a voter that has been gone for seconds would be
+	 * delayed again at each change of leader.
 	 */
 	list_foreach(peer, &raft->peers, node)
 		if (peer->up)
@@ -270,7 +271,7 @@
 	if (granted)
 		raft_reset_election(raft, now_us);
 	reply.flags = granted ? RAFT_GRANTED : RAFT_REJECTED;
-	/* a vote that a crash could make us forget might be given twice */
+	/* a crash could lose an unsynced vote, and it might be given twice */
 	raft_send_after_sync(raft, peer->id, &reply, effects);
 }
 
@@ -320,7 +321,7 @@
 	raft_count_votes(raft, now_us, effects);
 }
 
-/** The leader hands over to us; it has given up its lease. */
+/** Leadership transfer to this member; the leader has given up its lease. */
 void raft_on_timeout_now(struct raft *raft, const struct raft_message *message,
 			 int64_t now_us, struct effects *effects)
 {
--- a/libfilberthall/agree/raft_follow.c
+++ b/libfilberthall/agree/raft_follow.c
@@ -1,8 +1,11 @@
 #include "agree/raft_internal.h"
 
-/** The side that takes entries from the leader or a feeder. */
+/** The receiving side of replication, from the leader or an upstream. */
 
-/** Where the leader should go on after a conflict: not before our commit. */
+/**
+ * The index after which the leader should continue after a conflict; never
+ * before our commit index.
+ */
 static int64_t raft_conflict_hint(const struct raft *raft, int64_t index)
 {
 	int64_t last = raft_log_last(&raft->log);
@@ -45,7 +48,7 @@
 	raft_message_clear(&reply);
 }
 
-/** Writes came back synced: tell whoever feeds us. */
+/** Acknowledge durable entries to the sender of entries. */
 void raft_acknowledge(struct raft *raft, int64_t now_us,
 		      struct effects *effects)
 {
@@ -72,7 +75,7 @@
 		raft_adopt_members(raft, stored, effects);
 }
 
-/** Take entries behind a place where both logs agree; true if any is new. */
+/** Store the entries after a matching one; true if any is new. */
 static bool raft_store_entries(struct raft *raft,
 			       const struct raft_message *message,
 			       struct effects *effects)
@@ -101,9 +104,9 @@
 }
 
 /**
- * How fresh our state is: the sender echoes our clock, so it sent this after
- * that moment, and was then `age` away from a time at which a leader had a
- * quorum. No message that was kept back somewhere can look newer than it is.
+ * Update how fresh our state is. The sender echoes our clock, so it sent this
+ * after that time, and a leader had a quorum `age` before it was sent. A
+ * message that was delayed can't look newer than it is.
  */
 static void raft_update_fresh_us(struct raft *raft,
 				 const struct raft_message *message)
@@ -128,8 +131,8 @@
 	bool stored;
 
 	/*
-	 * A feeder may hold entries that aren't committed; that ours are the
-	 * same doesn't make them the leader's.
+	 * An upstream may hold uncommitted entries; that ours are equal doesn't
+	 * mean that they are in the leader's log.
 	 */
 	if (message->flags & RAFT_RELAYED && last > message->commit)
 		last = message->commit;
@@ -159,7 +162,7 @@
 	raft_replicate_all(raft, false, now_us, effects);
 }
 
-/** Entries from a feeder: committed ones, whoever leads by now. */
+/** Entries relayed by an upstream: committed ones, whoever leads now. */
 static void raft_on_relayed(struct raft *raft, struct raft_peer *peer,
 			    const struct raft_message *message, int64_t now_us,
 			    struct effects *effects)
@@ -173,8 +176,9 @@
 		raft_reset_verified(raft);
 	raft->leader = message->leader;
 	/*
-	 * Two learners that feed each other would hear one another for ever
-	 * and never the group: only a fresh feeder counts as heard.
+	 * Two learners that are each other's upstream would stay in contact
+	 * with one another but not with the group: only an upstream with fresh
+	 * state counts.
 	 */
 	if (message->age_us && message->age_us < raft_upstream_age_limit(raft))
 		raft->upstream_contact_us = now_us;
@@ -199,7 +203,7 @@
 		return;
 	}
 	if (raft->role == RAFT_LEADER && message->term == raft->term)
-		return; /* can't be: one leader a term */
+		return; /* impossible: a term has one leader */
 	if (message->term > raft->term || raft->role != RAFT_FOLLOWER ||
 	    raft->leader != peer->id)
 		raft_become_follower(raft, message->term, peer->id, now_us,
--- a/libfilberthall/agree/raft_internal.h
+++ b/libfilberthall/agree/raft_internal.h
@@ -6,14 +6,14 @@
 #include "base/map.h"
 #include "base/rng.h"
 
-/** What the parts of Raft share; nobody else includes this. */
+/** Internals shared by the raft_*.c files; not for other modules. */
 
 #define RAFT_NEVER (INT64_MIN / 4)
 #define RAFT_MAX_INFLIGHT 32
 #define RAFT_MAX_ENTRY_BYTES (4 * 1024 * 1024)
 #define RAFT_MAX_SNAPSHOT_BYTES (INT64_C(256) * 1024 * 1024)
 
-/** The tail of the log in memory, all behind some index. */
+/** The part of the log that is kept in memory: all entries after some index. */
 struct raft_log {
 	struct raft_entry *items;
 	size_t count;
@@ -32,100 +32,117 @@
 	RAFT_APPEND_REPLY,
 	RAFT_CHUNK, /**< part of a snapshot */
 	RAFT_CHUNK_REPLY,
-	RAFT_TIMEOUT_NOW, /**< campaign at once: leadership is handed over */
-	RAFT_JOIN,	  /**< a VM that isn't in the configuration */
-	RAFT_SUBSCRIBE,	  /**< a learner asks to be fed */
+	RAFT_TIMEOUT_NOW, /**< start an election at once: leadership transfer */
+	RAFT_JOIN,	  /**< a VM asks to become a member */
+	RAFT_SUBSCRIBE,	  /**< a learner asks to receive entries */
 	RAFT_SUBSCRIBE_REFUSED
 };
 
 enum raft_message_flag {
 	RAFT_GRANTED = 1,
 	RAFT_REJECTED = 2,
-	RAFT_DISK_HAS_FAILED =
-		4,	   /**< the sender acknowledges nothing any more */
-	RAFT_TRANSFER = 8, /**< a vote asked for by the leader itself */
-	RAFT_RELAYED = 16, /**< only committed entries, not from the leader */
-	RAFT_REMOVED = 32  /**< the receiver is no member any more */
+	RAFT_DISK_HAS_FAILED = 4, /**< the sender's disk failed; it acknowledges
+		  	   nothing */
+	RAFT_TRANSFER = 8,	  /**< a vote request on behalf of the leader,
+	                   during a transfer */
+	RAFT_RELAYED = 16,	  /**< relayed by an upstream: committed entries
+	                   only */
+	RAFT_REMOVED = 32	  /**< the receiver is no longer a member */
 };
 
-/** What a feeder tells its own feeder about those below it. */
+/**
+ * The state of a downstream learner, as an upstream reports it to its own
+ * upstream.
+ */
 struct raft_report {
 	uint64_t id;
 	int64_t applied;
-	int64_t age_ms; /**< since the last sign of life */
+	int64_t age_ms; /**< since the last contact */
 };
 
-/** One message; fields that are 0 aren't sent. */
+/** One message; fields that are 0 are omitted on the wire. */
 struct raft_message {
 	int64_t kind;
 	int64_t term;
-	int64_t index;	  /**< previous or last index, or a snapshot's */
-	int64_t log_term; /**< term of that entry */
+	int64_t index;	  /**< index of the previous or last entry, or of a
+	              	  snapshot */
+	int64_t log_term; /**< term of the entry at `index` */
 	int64_t commit;
-	int64_t sent_us;  /**< sender's clock */
-	int64_t echo_us;  /**< receiver's clock as the sender last saw it */
-	int64_t age_us;	  /**< since the leader was sure of a quorum, plus 1;
-			       0 for unknown */
-	int64_t match;	  /**< durable here, same as the leader's */
-	int64_t received; /**< received, same as the leader's */
+	int64_t sent_us;  /**< sender's clock, when it sent this */
+	int64_t echo_us;  /**< `sent_us` of the latest message that the
+	                  sender got from the receiver */
+	int64_t age_us;	  /**< time since the leader last had a quorum, plus
+	               	  1; 0 for unknown */
+	int64_t match;	  /**< last index that matches the leader's log and
+	              	  is durable */
+	int64_t received; /**< last index that matches the leader's log */
 	int64_t applied;
 	int64_t flags;
-	int64_t offset; /**< in a snapshot; hops of a RAFT_JOIN */
-	int64_t total;	/**< bytes of a snapshot */
+	int64_t offset; /**< in a snapshot; hop count of a RAFT_JOIN */
+	int64_t total;	/**< size of the whole snapshot in bytes */
 	uint64_t leader;
 	const char *data; /**< not owned */
 	size_t len;
-	/** Read: owned. Written: index of the first, taken from the log. */
+	/** Decoded: owned array. To be encoded: points into the log. */
 	struct raft_entry *entries;
 	size_t n_entries;
 	struct raft_report *reports; /**< owned */
 	size_t n_reports;
 };
 
-/** Another member, or a VM that has a link to us. */
+/** Another member, or a VM that has a link to this one. */
 struct raft_peer {
 	struct list node;
 	struct map_node by_id;
 	uint64_t id;
-	bool is_member;	  /**< in the present configuration */
-	bool is_voter;	  /**< as a voter */
-	bool has_disk;	  /**< it may become one */
-	bool up;	  /**< its link stands */
-	bool replicating; /**< we send entries to it */
-	bool downstream;  /**< a learner that asked for them */
-	bool probing;	  /**< its log isn't known yet: one message at a time */
-	bool vote_granted;	/**< its (pre-)vote in this campaign */
-	bool disk_failed;	/**< its disk has failed */
-	bool reported_by_child; /**< reported by one of our children */
+	bool is_member;	   /**< in the current membership */
+	bool is_voter;	   /**< it is a voter */
+	bool has_disk;	   /**< it has a disk, so it may become a voter */
+	bool up;	   /**< the link to it is up */
+	bool replicating;  /**< entries are sent to it */
+	bool downstream;   /**< it subscribed to this member's entries */
+	bool probing;	   /**< its last matching entry is unknown: only one
+	             	  message with entries at a time */
+	bool vote_granted; /**< it granted its (pre-)vote in the current
+	                  	election */
+	bool disk_failed;  /**< its disk has failed */
+	bool reported_by_child; /**< its state comes from the report of a
+	                        downstream */
 	int64_t next;		/**< next index to send */
-	int64_t match;		/**< durable there */
-	int64_t received;	/**< received there */
+	int64_t match;		/**< last index that is durable there */
+	int64_t received;	/**< last index received there */
 	int64_t applied;
-	int64_t inflight[RAFT_MAX_INFLIGHT]; /**< last indices under way */
+	int64_t inflight[RAFT_MAX_INFLIGHT]; /**< last index of each
+	                                     unacknowledged message */
 	int n_inflight;
 	int64_t sent_us;      /**< last append or chunk sent */
 	int64_t data_sent_us; /**< last append with entries, or chunk, sent */
-	int64_t last_answered_us; /**< newest send time that it answered */
-	int64_t last_acked_us;	  /**< the same while its disk works */
-	int64_t echo_clock_us; /**< its clock in its last append of this term */
-	int64_t peer_clock_us; /**< its clock in its last message */
-	int64_t last_contact_us;  /**< last sign of life, see raft_alive_us() */
-	int64_t reported_applied; /**< last reported to our feeder, and when */
+	int64_t last_answered_us; /**< when the latest message that it
+	                          answered was sent */
+	int64_t last_acked_us;	  /**< the same, while its disk works */
+	int64_t echo_clock_us;	  /**< its clock in its last append of this
+	                       term, echoed in replies */
+	int64_t peer_clock_us;	  /**< its clock in its last reply, echoed in
+	                       appends */
+	int64_t last_contact_us;  /**< last contact, see raft_contact_us() */
+	int64_t reported_applied; /**< `applied` as last reported to the
+	                          upstream, and when */
 	int64_t reported_us;
-	int64_t snapshot_index;	 /**< being sent, 0 for none */
+	int64_t snapshot_index;	 /**< index of the snapshot being sent, 0 for
+	                       	 none */
 	int64_t snapshot_offset; /**< bytes acknowledged */
-	bool chunk_sent;	 /**< the chunk from there on is under way */
+	bool chunk_sent;	 /**< the chunk at snapshot_offset was sent */
 };
 
-/** A sync under way. */
+/** A requested sync that hasn't completed. */
 struct raft_pending_sync {
 	struct list node;
 	int64_t ticket;
-	int64_t last_index; /**< durable once it came back */
-	int64_t term;	    /**< durable term then */
+	int64_t last_index; /**< last index that it makes durable */
+	int64_t term;	    /**< term that it makes durable */
 };
 
-/** A message that waits for a sync. */
+/** A message to be sent once a sync completes. */
 struct raft_deferred_message {
 	struct list node;
 	int64_t ticket;
@@ -147,9 +164,10 @@
 	struct bytes snapshot; /**< as on the disk */
 
 	/* syncs */
-	bool dirty;		/**< writes of this call have no ticket yet */
+	bool dirty;		/**< writes of the current call have no sync
+	           		ticket yet */
 	bool disk_failed;	/**< the disk has failed */
-	bool self_vote_granted; /**< our own vote is durable */
+	bool self_vote_granted; /**< the vote for ourselves is durable */
 	int64_t last_ticket;
 	int64_t synced_index;
 	struct list tickets;
@@ -157,25 +175,28 @@
 
 	/* progress */
 	enum raft_role role;
-	bool removed; /**< a member told us that we were removed */
+	bool removed; /**< another member replied that this one was removed */
 	uint64_t leader;
 	int64_t commit;
 	int64_t applied;
 
 	/* as follower */
-	int64_t verified;	   /**< log is the leader's up to here */
-	int64_t acknowledged;	   /**< match last told to the leader */
-	int64_t leader_contact_us; /**< when the leader was last heard */
+	int64_t verified;	   /**< the log matches the leader's up to
+	                 	   this index */
+	int64_t acknowledged;	   /**< `match` as last sent to the leader or
+	                     	   upstream */
+	int64_t leader_contact_us; /**< when the leader was last in contact */
 	int64_t election_at_us;
 	int64_t fresh_us;
-	int64_t chunk_index; /**< snapshot being received */
+	int64_t chunk_index; /**< of the snapshot being received */
 	int64_t chunk_term;
 	struct bytes chunk;
 
 	/* as leader */
 	int64_t elected_us;
-	int64_t first_own_index; /**< the empty entry of our term */
-	bool transferring;	 /**< sticky for the term */
+	int64_t first_own_index; /**< index of the empty entry that started
+	                         our term */
+	bool transferring;	 /**< stays set for the rest of the term */
 	bool transfer_sent;
 	int64_t transfer_until_us;
 	int64_t repair_at_us;
@@ -185,7 +206,7 @@
 	/* as learner */
 	uint64_t upstream;
 	int upstream_attempt;
-	int link_attempts; /**< times that its link was asked for */
+	int link_attempts; /**< requests for a link to the current upstream */
 	int64_t upstream_contact_us;
 	int64_t subscribe_at_us;
 	int64_t join_at_us;
@@ -194,9 +215,10 @@
 	/* configuration */
 	struct members members;
 	int64_t members_index;
-	struct members joining; /**< leader: to be added next */
-	int voters;		/**< in `members` */
-	bool self_is_member;	/**< whether we are in it */
+	struct members joining; /**< leader: VMs to be added by the next
+	                        entry */
+	int voters;		/**< number of voters in `members` */
+	bool self_is_member;	/**< this member is in `members` */
 	bool self_is_voter;
 	struct list peers;
 	struct map peers_by_id;
@@ -239,7 +261,10 @@
 /* raft_election.c */
 bool raft_can_vote(const struct raft *raft);
 
-/** Leader: nobody was listened to until now; silence counts from here on. */
+/**
+ * Leader: treat all linked peers as in contact at now_us, because contact was
+ * not recorded until now.
+ */
 void raft_reset_contact_times(struct raft *raft, int64_t now_us);
 
 void raft_reset_election(struct raft *raft, int64_t now_us);
@@ -266,11 +291,11 @@
 				   struct effects *effects);
 void raft_feed(struct raft *raft, struct raft_peer *peer, bool heartbeat,
 	       int64_t now_us, struct effects *effects);
-/** Take in which of our messages a reply answers. */
+/** Record which message a reply answers. */
 void raft_record_answer(struct raft_peer *peer,
 			const struct raft_message *message, int64_t now_us);
 
-/** Whether what was last sent to a peer won't arrive any more. */
+/** Whether the data last sent to a peer was lost. */
 bool raft_last_send_was_lost(const struct raft_peer *peer);
 
 void raft_replicate_all(struct raft *raft, bool notice, int64_t now_us,
--- a/libfilberthall/agree/raft_learner.c
+++ b/libfilberthall/agree/raft_learner.c
@@ -5,41 +5,46 @@
 #include "base/alloc.h"
 
 /**
- * Learners choose who feeds them.
+ * How a learner chooses the upstream that sends it entries.
  *
- * Load answered: 330 daemons. A leader that streams to all of them spends
- * its core on copying, and the death of a fixed relay would cut off all
- * below it. Here each learner of a zone takes its place in a tree over the
- * zone's learners, whose first one is fed by a voter; one that hears nothing
- * fresh goes up the tree, and at last to any voter. Small groups skip the
- * tree: the leader feeds all.
+ * The load is 330 daemons. If the leader replicated to all of them, copying
+ * would take up its core; with one fixed relay, its death would cut off all
+ * learners behind it. So the learners of a zone form a tree, whose root gets
+ * its entries from a voter. A learner that gets nothing fresh from its parent
+ * subscribes to the next node up the tree, and at last to any voter. Small
+ * groups use no tree: the leader replicates to all.
  */
 #define RAFT_SILENT_HEARTBEATS 3
 #define RAFT_FRESH_HEARTBEATS 12
 #define RAFT_REPORT_HEARTBEATS 5
 
-/** Older than this, a feeder doesn't count as one. */
+/** An upstream whose state is older than this is not used. */
 int64_t raft_upstream_age_limit(const struct raft *raft)
 {
 	return RAFT_FRESH_HEARTBEATS * raft->options.learner_heartbeat_us;
 }
 
-/** A voter trusts only the leader; one that was removed may need a feeder. */
+/**
+ * Whether to accept relayed entries from a peer. A voter accepts entries from
+ * the leader only; one that was removed may need an upstream.
+ */
 bool raft_accepts_relayed(const struct raft *raft, const struct raft_peer *peer)
 {
 	return (!raft_is_voter(raft) || raft->removed) &&
 	       peer->id == raft->upstream;
 }
 
-/** Too many for the leader to feed all of them. */
+/**
+ * Whether the group is too large for the leader to replicate to all members.
+ */
 static bool raft_uses_tree(const struct raft *raft)
 {
 	return raft->members.count > (size_t)raft->options.max_children + 1;
 }
 
 /**
- * Children of each node of the tree: half of what a feeder takes, so that it
- * has room for those whose own feeder is dead.
+ * Children of each node of the tree: half of what an upstream accepts, so that
+ * it has room for learners whose own upstream is dead.
  */
 static size_t raft_fanout(const struct raft *raft)
 {
@@ -62,7 +67,10 @@
 	return 0;
 }
 
-/** Diskless learners of our zone in the order of the configuration. */
+/**
+ * Ids of the diskless learners of this zone, in membership order; `*own` gets
+ * the position of this member.
+ */
 static size_t raft_zone_peers(const struct raft *raft, uint64_t *ids,
 			      size_t *own)
 {
@@ -100,7 +108,7 @@
 	return raft_any_voter(raft, attempt + 1);
 }
 
-/** A VM that knows no configuration yet tries whom it has a link to. */
+/** For a VM that doesn't know the membership yet: any peer with a link. */
 static uint64_t raft_any_peer(const struct raft *raft, int attempt)
 {
 	const struct raft_peer *peer;
@@ -145,7 +153,7 @@
 	effect->u.link_open.zone = xstrdup(member->zone);
 }
 
-/** A link that was asked for gets some time before another feeder's turn. */
+/** Retries before the next upstream is tried: a requested link takes time. */
 #define RAFT_LINK_ATTEMPTS 4
 
 static void raft_subscribe(struct raft *raft, int64_t now_us,
@@ -202,8 +210,8 @@
 }
 
 /**
- * Send it elsewhere. A VM that has just joined by us knows nobody else yet,
- * so it gets the configuration to choose from.
+ * Refuse a subscription. A VM that has just joined knows no other member yet,
+ * so the reply carries the membership to choose from.
  */
 static void raft_refuse_subscription(struct raft *raft, struct raft_peer *peer,
 				     const struct raft_message *asked,
@@ -258,7 +266,7 @@
 	raft_feed(raft, peer, true, now_us, effects);
 }
 
-/** Without any entry of our own, the newest configuration told is ours. */
+/** A member without any entries uses the membership in the refusal. */
 void raft_on_subscribe_refused(struct raft *raft, struct raft_peer *peer,
 			       const struct raft_message *message,
 			       struct effects *effects)
@@ -277,7 +285,7 @@
 		raft->upstream_attempt = 0;
 }
 
-/** Whether this VM must tell the leader who and where it is. */
+/** Whether this VM must ask the leader to be added or updated. */
 static bool raft_must_join(const struct raft *raft)
 {
 	const struct member *self = &raft->options.self;
@@ -313,9 +321,10 @@
 }
 
 /**
- * Whether our feeder should hear of a member below us: something new, or at
- * times that it still lives. Each report of each member goes up to the
- * leader, so with hundreds of members they are most of what it receives.
+ * Whether a downstream member's state should be reported to our upstream: when
+ * it changed, and otherwise at intervals as a sign of life. Every report
+ * travels up to the leader, and with hundreds of members the reports are most
+ * of what it receives.
  */
 static bool raft_report_due(const struct raft *raft,
 			    const struct raft_peer *peer, int64_t now_us)
@@ -328,7 +337,7 @@
 		now_us - peer->reported_us >= RAFT_REPORT_HEARTBEATS * beat_us);
 }
 
-/** Tell our feeder about the learners below us. */
+/** Add the state of downstream learners to a message to our upstream. */
 void raft_add_reports(struct raft *raft, struct raft_message *message,
 		      int64_t now_us)
 {
--- a/libfilberthall/agree/raft_log.c
+++ b/libfilberthall/agree/raft_log.c
@@ -24,7 +24,10 @@
 	memset(log, 0, sizeof(*log));
 }
 
-/** Forget everything; the entry at `index` has that term. */
+/**
+ * Remove all entries; the log continues after `index`, whose entry has that
+ * term.
+ */
 void raft_log_reset(struct raft_log *log, int64_t index, int64_t term)
 {
 	raft_log_free_from(log, 0);
@@ -82,7 +85,7 @@
 		raft_log_free_from(log, (size_t)(from - log->first));
 }
 
-/** Drop the entries up to `upto`, which must be held. */
+/** Drop the entries up to `upto`, which must be in memory. */
 void raft_log_drop(struct raft_log *log, int64_t upto)
 {
 	size_t n = (size_t)(upto - log->first + 1);
--- a/libfilberthall/agree/raft_member.c
+++ b/libfilberthall/agree/raft_member.c
@@ -23,7 +23,10 @@
 	return node ? container_of(node, struct raft_peer, by_id) : NULL;
 }
 
-/** Voters, and learners that may have to take over from one. */
+/**
+ * Whether the leader replicates to a peer: to voters, and to learners that may
+ * replace one.
+ */
 bool raft_leader_replicates_to(const struct raft_peer *peer)
 {
 	return peer->is_member && (peer->is_voter || peer->has_disk);
@@ -48,7 +51,9 @@
 	return peer;
 }
 
-/** Peers that are neither linked nor members are forgotten in time. */
+/**
+ * Remove peers that have been neither linked nor members for RAFT_FORGET_US.
+ */
 static void raft_remove_stale_peers(struct raft *raft, int64_t now_us)
 {
 	struct raft_peer *peer;
@@ -64,7 +69,10 @@
 	}
 }
 
-/** Ask for the links that this member needs to do its part. */
+/**
+ * Request the links that a voter needs to the other voters and to learners with
+ * a disk.
+ */
 static void raft_open_links(const struct raft *raft, struct effects *effects)
 {
 	bool voter = raft_is_voter(raft);
@@ -89,7 +97,10 @@
 	}
 }
 
-/** What each message needs of the configuration, at hand with the peers. */
+/**
+ * Copy the roles from the membership to the peers, so that handling a message
+ * needs no search.
+ */
 static void raft_update_peer_roles(struct raft *raft)
 {
 	struct raft_peer *peer;
@@ -132,7 +143,7 @@
 	raft_open_links(raft, effects);
 }
 
-/** A configuration holds as soon as it is in the log. */
+/** Use a new membership as soon as its entry is in the log. */
 void raft_adopt_members(struct raft *raft, const struct raft_entry *entry,
 			struct effects *effects)
 {
@@ -140,7 +151,8 @@
 
 	if (!members_decode(&members, entry->body.data + 1,
 			    entry->body.len - 1)) {
-		raft_say(effects, LOG_ERROR, "a configuration can't be read");
+		raft_say(effects, LOG_ERROR,
+			 "malformed membership entry ignored");
 		return;
 	}
 	members_clear(&raft->members);
@@ -149,7 +161,7 @@
 	raft_members_changed(raft, effects);
 }
 
-/** After entries went away: the latest configuration that is left. */
+/** After entries were removed, use the latest membership that is left. */
 void raft_scan_members(struct raft *raft, struct effects *effects)
 {
 	int64_t i;
@@ -169,9 +181,9 @@
 }
 
 /**
- * One change at a time, and none before an entry of our own term is
- * committed: two configurations whose quorums needn't overlap could otherwise
- * both be in use.
+ * Whether the membership may be changed: one change at a time, and none before
+ * an entry of the current term is committed. Otherwise two memberships whose
+ * quorums don't overlap could both be in use.
  */
 static bool raft_may_change(const struct raft *raft)
 {
@@ -208,7 +220,7 @@
 		 : change->kind == MEMBER_DEMOTE  ? "demote"
 						  : "remove",
 		 change->member.vm, (unsigned long long)change->member.id,
-		 change->reason ? change->reason : "asked for");
+		 change->reason ? change->reason : "operator's request");
 	raft_append_members(raft, &members, now_us, effects);
 	members_clear(&members);
 }
@@ -230,7 +242,9 @@
 	return true;
 }
 
-/** It answered what we sent so lately that it can hardly have died since. */
+/**
+ * Whether it answered something sent so recently that it has hardly died since.
+ */
 static bool raft_is_present(const struct raft *raft, uint64_t id,
 			    int64_t now_us)
 {
@@ -266,12 +280,12 @@
 	free(health);
 	if (change.kind == MEMBER_NO_CHANGE)
 		return;
-	/* the next step follows as soon as this one is committed */
+	/* the next change follows as soon as this one is committed */
 	raft->repair_at_us = now_us;
 	raft_apply_change(raft, &change, now_us, effects);
 }
 
-/** All VMs that asked to join meanwhile come in by one entry. */
+/** Add all VMs that have asked to join by one entry. */
 static void raft_admit(struct raft *raft, int64_t now_us,
 		       struct effects *effects)
 {
@@ -303,7 +317,7 @@
 		raft_admit(raft, now_us, effects);
 		return;
 	}
-	/* not while the quorum itself is in doubt */
+	/* no repair while the quorum itself is uncertain */
 	if (now_us - raft_quorum_us(raft, now_us) >
 	    RAFT_PRESENT_HEARTBEATS * raft->options.heartbeat_us)
 		return;
@@ -352,7 +366,9 @@
 		raft_send(raft, next->id, &onward, effects);
 }
 
-/** Voters other than `id` that answered within an election time. */
+/**
+ * Number of voters other than `id` that answered within an election timeout.
+ */
 static int raft_living_voters(const struct raft *raft, uint64_t id,
 			      int64_t now_us)
 {
@@ -367,9 +383,9 @@
 }
 
 /**
- * Whether a voter may go, dead or alive. Another one may just have died
- * without our knowing yet, so the rest must bear one loss more than we know
- * of; otherwise the change itself could stop the group for good.
+ * Whether a voter may be removed or demoted, dead or alive. Another voter may
+ * just have died unnoticed, so the rest must tolerate one loss more than is
+ * known; otherwise the change itself could stop the group for good.
  */
 static bool raft_can_spare(const struct raft *raft, uint64_t id, int64_t now_us)
 {
--- a/libfilberthall/agree/raft_message.c
+++ b/libfilberthall/agree/raft_message.c
@@ -7,8 +7,8 @@
 #include "core/pack.h"
 
 /**
- * A message is a msgpack map from small numbers to values; what is 0 or empty
- * is left out, and a reader skips numbers that it doesn't know.
+ * A message is a msgpack map with small integer keys. Values that are 0 or
+ * empty are omitted, and unknown keys are skipped.
  */
 #define RAFT_KEY_LEADER 20
 #define RAFT_KEY_DATA 21
@@ -18,7 +18,7 @@
 #define RAFT_MAX_ENTRIES 65536
 #define RAFT_MAX_REPORTS MEMBER_MAX
 
-/** Whole numbers by their keys; the place in the table is the key. */
+/** The integer fields; the position in the table is the key. */
 static const size_t raft_numbers[] = {
 	offsetof(struct raft_message, kind),
 	offsetof(struct raft_message, term),
@@ -250,7 +250,7 @@
 	       message->total <= RAFT_MAX_SNAPSHOT_BYTES;
 }
 
-/** Read a message; false if malformed. Cleared by raft_message_clear(). */
+/** Decode a message; false if malformed. Free it with raft_message_clear(). */
 bool raft_message_decode(struct raft_message *message, const char *data,
 			 size_t len)
 {
--- a/libfilberthall/agree/raft_replicate.c
+++ b/libfilberthall/agree/raft_replicate.c
@@ -4,8 +4,8 @@
 #include "base/alloc.h"
 
 /**
- * The side that sends entries: the leader to voters and candidates for them,
- * and any feeder to the learners below it.
+ * The sending side of replication: the leader sends to voters and to learners
+ * with a disk, and any upstream to its downstream learners.
  */
 
 struct raft_entry *raft_append_own(struct raft *raft, enum raft_entry_kind kind,
@@ -26,7 +26,10 @@
 	return entry;
 }
 
-/** A feeder other than the leader passes on only what is committed. */
+/**
+ * Last index that may be sent: an upstream that isn't the leader relays only
+ * committed entries.
+ */
 static int64_t raft_replication_limit(const struct raft *raft)
 {
 	return raft->role == RAFT_LEADER ? raft_log_last(&raft->log)
@@ -34,8 +37,8 @@
 }
 
 /**
- * How long ago a leader was surely in power, in the worst case on another
- * clock, plus one; 0 for unknown.
+ * Time since a leader last had a quorum, in the worst case on another clock,
+ * plus 1; 0 for unknown.
  */
 static int64_t raft_quorum_age(const struct raft *raft, int64_t now_us)
 {
@@ -103,7 +106,10 @@
 	       peer->next <= raft_replication_limit(raft);
 }
 
-/** Send what a peer lacks; an empty message too if it is due one. */
+/**
+ * Send the entries that a peer lacks, or an empty append if there are none and
+ * a heartbeat is due.
+ */
 void raft_feed(struct raft *raft, struct raft_peer *peer, bool heartbeat,
 	       int64_t now_us, struct effects *effects)
 {
@@ -125,9 +131,9 @@
 }
 
 /**
- * Feed all. Learners are fed in batches, at most once per learner heartbeat:
- * hundreds of them each get every entry, and most of what they get needn't
- * be there at once.
+ * Replicate to all peers. Learners get entries in batches, at most once per
+ * learner heartbeat: hundreds of them each get every entry, and most of those
+ * aren't urgent.
  */
 void raft_replicate_all(struct raft *raft, bool notice, int64_t now_us,
 			struct effects *effects)
@@ -156,16 +162,19 @@
 }
 
 /**
- * Links keep order: what the peer hasn't taken in by its answer to a later
- * message was lost. A timeout would send a large entry again while it is still
- * on its way over a slow link, and delay it further.
+ * Links keep order: what the peer hasn't acknowledged when it answers a later
+ * message was lost. A timeout instead would send a large entry again while it
+ * is still on its way over a slow link, and delay it further.
  */
 bool raft_last_send_was_lost(const struct raft_peer *peer)
 {
 	return peer->last_answered_us > peer->data_sent_us;
 }
 
-/** After a loss the peer's log is probed anew from what it is known to hold. */
+/**
+ * After a loss, probe the peer's log again from the last index known to be
+ * there.
+ */
 static void raft_check_progress(struct raft_peer *peer)
 {
 	if (!peer->n_inflight || !raft_last_send_was_lost(peer))
@@ -202,7 +211,9 @@
 	return left < right ? 1 : left > right ? -1 : 0;
 }
 
-/** The value that a quorum of voters has reached. */
+/**
+ * The value that a quorum of voters has reached: `last_acked_us` or `match`.
+ */
 static int64_t raft_quorum_value(const struct raft *raft, int64_t own,
 				 bool times)
 {
@@ -222,7 +233,7 @@
 	return values[members_quorum(voters) - 1];
 }
 
-/** Leader: the latest time at which a quorum still followed us. */
+/** Leader: the latest time at which a quorum still acknowledged it. */
 int64_t raft_quorum_us(const struct raft *raft, int64_t now_us)
 {
 	return raft_quorum_value(raft, now_us, true);
@@ -232,16 +243,16 @@
 {
 	int64_t quorum_us = raft_quorum_us(raft, now_us);
 
-	/* a new leader may not know yet all that was committed before it */
+	/* a new leader may not know yet which earlier entries are committed */
 	if (quorum_us > raft->fresh_us && raft->commit >= raft->first_own_index)
 		raft->fresh_us = quorum_us;
 	lease_renew(&raft->lease, quorum_us);
 }
 
 /**
- * Commit what a quorum holds durably. Entries of an earlier term are only
- * committed together with one of ours: a quorum that holds them can still be
- * overruled by a log with a later term.
+ * Commit what is durable on a quorum. An entry of an earlier term is committed
+ * only together with one of the current term: a log with a later term can still
+ * replace it, even on a quorum.
  */
 void raft_advance_commit(struct raft *raft, int64_t now_us,
 			 struct effects *effects)
@@ -275,7 +286,10 @@
 		peer->next = held + 1;
 }
 
-/** The peer's log differs at our last guess; it names where to go on. */
+/**
+ * The peer's log doesn't match at the probed index; the reply says where to
+ * continue.
+ */
 static void raft_handle_rejection(struct raft_peer *peer,
 				  const struct raft_message *message)
 {
--- a/libfilberthall/agree/raft_snapshot.c
+++ b/libfilberthall/agree/raft_snapshot.c
@@ -5,8 +5,8 @@
 #include "base/alloc.h"
 
 /**
- * A snapshot's body: length of the configuration (4 bytes, little endian),
- * the configuration, the state machine's state.
+ * A snapshot's body: length of the membership (4 bytes, little endian), the
+ * membership, the state of the state machine.
  */
 #define RAFT_SNAPSHOT_HEADER 4
 
@@ -27,7 +27,7 @@
 	bytes_clear(&config);
 }
 
-/** Take a snapshot apart; `members` must be empty. */
+/** Parse a snapshot; `members` must be empty, `*state` points into `body`. */
 bool raft_snapshot_split(const struct bytes *body, struct members *members,
 			 const char **state, size_t *len)
 {
@@ -46,7 +46,7 @@
 			      config);
 }
 
-/** The configuration in the snapshot that we hold. */
+/** The membership in the current snapshot. */
 struct members raft_snapshot_members(const struct raft *raft)
 {
 	struct members members = { 0 };
@@ -58,7 +58,7 @@
 	return members;
 }
 
-/** The configuration as of a committed index. */
+/** The membership as of a committed index. */
 static struct members raft_members_at(const struct raft *raft, int64_t index)
 {
 	struct members members = { 0 };
@@ -98,7 +98,9 @@
 	raft->snapshot_index = index;
 	raft->snapshot_term = raft_log_term(&raft->log, index);
 	raft_write_snapshot(raft, effects);
-	/* a short tail stays, so that a slow member needs no snapshot */
+	/*
+	 * keep a short tail of the log, so that a slow member needs no snapshot
+	 */
 	if (index - raft->options.keep_entries >= raft->log.first)
 		raft_log_drop(&raft->log, index - raft->options.keep_entries);
 	raft_finish(raft, now_us, effects);
@@ -130,7 +132,7 @@
 	}
 	if (len > message.total - peer->snapshot_offset)
 		len = message.total - peer->snapshot_offset;
-	/* Without data it is a heartbeat. */
+	/* Without data the message is a heartbeat. */
 	if (peer->chunk_sent && !raft_last_send_was_lost(peer))
 		len = 0;
 	message.offset = peer->snapshot_offset;
@@ -179,7 +181,7 @@
 	size_t len;
 
 	if (!raft_snapshot_split(&raft->chunk, &members, &state, &len)) {
-		raft_say(effects, LOG_ERROR, "a snapshot can't be read");
+		raft_say(effects, LOG_ERROR, "malformed snapshot ignored");
 		return;
 	}
 	members_clear(&members);
@@ -191,9 +193,10 @@
 	if (raft_log_term(&raft->log, raft->snapshot_index) !=
 	    raft->snapshot_term) {
 		/*
-		 * What we hold behind it was never committed. It goes first:
-		 * a crash in between then leaves only a shorter log. Nothing
-		 * of it counts as durable until the snapshot is.
+		 * The entries after the snapshot's index were never committed.
+		 * They are removed first: a crash in between then leaves only a
+		 * shorter log. None of them counts as durable before the
+		 * snapshot is.
 		 */
 		raft_unsync(raft, raft->commit + 1);
 		raft_write_truncate(raft, raft->snapshot_index + 1, effects);
@@ -207,7 +210,7 @@
 	raft_scan_members(raft, effects);
 }
 
-/** Take the next chunk if it continues what we have of this snapshot. */
+/** Store a chunk if it continues the snapshot being received. */
 static void raft_take_chunk(struct raft *raft,
 			    const struct raft_message *message,
 			    struct effects *effects)
@@ -231,7 +234,10 @@
 	}
 }
 
-/** Hear the sender of a chunk as the sender of an append is heard. */
+/**
+ * Record contact with the sender of a chunk, as raft_on_append() does; false if
+ * the chunk must be ignored.
+ */
 static bool raft_hear_chunk(struct raft *raft, struct raft_peer *peer,
 			    const struct raft_message *message, int64_t now_us,
 			    struct effects *effects)
--- a/libfilberthall/agree/raft_view.c
+++ b/libfilberthall/agree/raft_view.c
@@ -1,6 +1,6 @@
 #include "agree/raft_internal.h"
 
-/** What others may ask of Raft without changing it. */
+/** Queries that don't change the state. */
 
 #define RAFT_MILLION 1000000
 
@@ -75,9 +75,9 @@
 }
 
 /**
- * Voters wait election_us of their clocks before they elect another leader;
- * ours may run slow and theirs fast, so we trust the time only so far that
- * the worst case still fits.
+ * How long a quorum's answer allows lease reads. Voters wait election_us on
+ * their clocks before they elect another leader. Our clock may be slow and
+ * theirs fast, so the time is shortened for the worst case.
  */
 static int64_t raft_read_lease_us(const struct raft *raft)
 {
--- a/libfilberthall/agree/repair.c
+++ b/libfilberthall/agree/repair.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/** What the decisions below look at together. */
+/** The arguments of member_repair(). */
 struct repair_view {
 	const struct member_policy *policy;
 	const struct members *members;
@@ -40,8 +40,8 @@
 }
 
 /**
- * Whether another member of the same VM, or at the same address, lives: then
- * this one's folder is gone and it can't come back.
+ * Whether another live member has the same VM or address: then this one's data
+ * folder is gone and it can't come back.
  */
 static bool repair_superseded(const struct repair_view *view,
 			      const struct member *member)
@@ -87,7 +87,10 @@
 	return living;
 }
 
-/** Voters that were heard just now; any of the others may have died since. */
+/**
+ * Number of voters that answered just now; any of the others may have died
+ * since.
+ */
 static int repair_present_voters(const struct repair_view *view)
 {
 	int present = 0;
@@ -107,7 +110,7 @@
 	return present;
 }
 
-/** Living voters in a zone. */
+/** Number of live voters in a zone. */
 static int repair_zone_voters(const struct repair_view *view, const char *zone)
 {
 	int voters = 0;
@@ -124,9 +127,9 @@
 }
 
 /**
- * Whether a member may become a voter now: with a disk, alive, and caught up.
- * One that isn't caught up would count towards the quorum without being able
- * to acknowledge anything, so a second loss would stop the group.
+ * Whether a learner may become a voter now: it has a disk, is alive and has
+ * caught up. One that hasn't caught up would count towards the quorum without
+ * being able to acknowledge anything, so a second loss would stop the group.
  */
 static bool repair_can_vote(const struct repair_view *view,
 			    const struct member *member)
@@ -138,7 +141,7 @@
 	       !repair_dead(view, member);
 }
 
-/** The candidate whose zone has the fewest living voters, or NULL. */
+/** The candidate whose zone has the fewest live voters, or NULL. */
 static const struct member *repair_candidate(const struct repair_view *view,
 					     int *candidates)
 {
@@ -163,7 +166,10 @@
 	return best;
 }
 
-/** Its process lives, so it may be a voter again once its disk works. */
+/**
+ * Whether a member with a failed disk is alive, so that it may vote again once
+ * its disk works.
+ */
 static bool repair_may_recover(const struct repair_view *view,
 			       const struct member *member)
 {
@@ -173,7 +179,7 @@
 	       !repair_silent(view, member->id, view->policy->voter_timeout_us);
 }
 
-/** How sure it is that a dead voter doesn't come back. */
+/** How certain it is that a dead voter won't come back, from 0 to 2. */
 static int repair_finality(const struct repair_view *view,
 			   const struct member *dead)
 {
@@ -182,7 +188,10 @@
 	return repair_superseded(view, dead) ? 2 : 1;
 }
 
-/** Rather one whose folder is gone than one that may be cut off or full. */
+/**
+ * The dead voter that is least likely to come back, or NULL: one whose folder
+ * is gone before one that may be partitioned or have a full disk.
+ */
 static const struct member *repair_dead_voter(const struct repair_view *view)
 {
 	const struct member *found = NULL;
@@ -201,13 +210,14 @@
 }
 
 /**
- * Whether the group can commit without a dead voter, also if one that fell
- * silent just now is gone.
+ * Whether the group can commit without a dead voter, even if all voters that
+ * didn't answer just now are gone.
  *
- * One with a failed disk goes only while all others are there. A disk that
- * was full for seconds comes back, and its vote was what two lost ones left:
- * the change that removed it stood in two logs of the three that lived, could
- * not be committed, and kept each of them from being elected for ever.
+ * A voter with a failed disk is removed only while all other voters are
+ * present. A disk that was full for seconds recovers, and its vote can be the
+ * one that is needed after two losses: the change that removed it was in two
+ * logs of the three live voters, could not be committed, and prevented each of
+ * them from being elected for good.
  */
 static bool repair_can_spare(const struct repair_view *view,
 			     const struct member *dead)
@@ -220,7 +230,7 @@
 	return repair_present_voters(view) >= needed;
 }
 
-/** The living voter, not ourselves, whose zone has the most voters. */
+/** The voter, other than this member, whose zone has the most live voters. */
 static const struct member *repair_crowded(const struct repair_view *view,
 					   int *zone_voters)
 {
@@ -258,15 +268,17 @@
 }
 
 /**
- * Whether a replacement comes in before a dead voter goes.
+ * Whether the replacement is promoted before the dead voter is removed.
+ *
+ * A voter that is partitioned or paused comes back. If it is removed, and
+ * another voter is lost before the removal is committed, the members that have
+ * the change lack a quorum under it, and the one that comes back can't be
+ * elected with its shorter log: no leader can ever be elected, although no more
+ * disks were lost than the group tolerates. If the replacement is promoted
+ * first, the returning voter completes the larger quorum.
  *
- * One that is cut off or stands still comes back. If it is removed and a
- * voter is lost before that is committed, those that have the change lack a
- * quorum by it, and the one that is back can't be elected by the shorter log:
- * nobody leads ever again, with no more disks lost than the group bears. With
- * the replacement in first, whoever comes back completes the larger quorum.
- * Where its folder is known to be gone nothing can come back, and the smaller
- * quorum is what a further loss leaves more room in.
+ * If the dead voter's folder is known to be gone, it can't come back, and the
+ * smaller quorum leaves more room for a further loss.
  */
 static bool repair_adds_first(const struct repair_view *view,
 			      const struct member *dead)
@@ -279,9 +291,9 @@
 }
 
 /**
- * Its replacement comes in first where a dead voter may come back, and next
- * where it can't. Without a replacement it goes only if a smaller group bears
- * more.
+ * The next change of the voters. If the dead voter may come back, its
+ * replacement is promoted first; otherwise after its removal. Without a
+ * replacement it is removed only if a smaller group tolerates more losses.
  */
 static struct member_change repair_voters(const struct repair_view *view)
 {
@@ -298,7 +310,7 @@
 	if (dead && candidate && repair_can_spare(view, dead) &&
 	    repair_adds_first(view, dead))
 		return repair_step(MEMBER_PROMOTE, candidate,
-				   "in place of a silent voter");
+				   "replaces an unreachable voter");
 	if (dead && (candidate || smaller_is_better) &&
 	    repair_can_spare(view, dead))
 		return repair_step(MEMBER_REMOVE, dead, "dead voter");
@@ -309,7 +321,7 @@
 	return none;
 }
 
-/** Move a voter from a crowded zone to one without any. */
+/** Move a voter from a zone with several to a zone without any. */
 static struct member_change repair_spread(const struct repair_view *view)
 {
 	struct member_change none = { .kind = MEMBER_NO_CHANGE };
@@ -345,7 +357,7 @@
 		if (member->role == MEMBER_LEARNER &&
 		    repair_silent(view, member->id, patience_us))
 			return repair_step(MEMBER_REMOVE, member,
-					   "silent learner");
+					   "unreachable learner");
 	}
 	return none;
 }
--- a/libfilberthall/agree/resend.c
+++ b/libfilberthall/agree/resend.c
@@ -13,7 +13,7 @@
 
 struct resend {
 	struct map_node node; /**< in order of time */
-	char *name;	      /**< operator, line feed, change id */
+	char *name;	      /**< operator, newline, change id */
 	char digest[RESEND_DIGEST_SIZE];
 	json_t *answer;
 	int64_t time_us;
--- a/libfilberthall/agree/resend.h
+++ b/libfilberthall/agree/resend.h
@@ -8,12 +8,12 @@
 #include "base/result.h"
 
 /**
- * Results of operators' commands by change id, so that a command sent again
+ * Results of operators' commands by change id: a command that is sent again
  * after a lost answer gets the first result and changes nothing. Part of the
- * agreed state, hence the same after a restart or a snapshot.
+ * agreed state, so the same after a restart or a snapshot.
  *
- * Bounds: the last RESENDS_KEPT results, and RESENDS_KEEP_US of log time. An
- * operator resends within minutes; at 4,300 changes a day the count holds
+ * Limits: the last RESENDS_KEPT results, and RESENDS_KEEP_US of log time.
+ * Operators resend within minutes; at 4,300 changes a day the count suffices
  * for almost two days.
  */
 #define RESENDS_KEPT 8192
@@ -25,19 +25,19 @@
 void resends_free(struct resends *resends);
 
 /**
- * The result kept under (operator, change id), or NULL. `command` and `args`
- * are what came now; `*same` tells whether they are what came first.
+ * The result kept under (operator, change id), or NULL. `*same` gets whether
+ * `command` and `args` equal those of the first command.
  */
 const json_t *resends_find(const struct resends *resends,
 			   const char *operator_id, const char *change_id,
 			   const char *command, const json_t *args, bool *same);
 
-/** Keep a result; `answer` is borrowed. */
+/** Store a result; `answer` is borrowed. */
 void resends_keep(struct resends *resends, const char *operator_id,
 		  const char *change_id, const char *command,
 		  const json_t *args, const json_t *answer, int64_t time_us);
 
-/** Drop what is older than the bounds. */
+/** Drop results beyond the limits. */
 void resends_expire(struct resends *resends, int64_t time_us);
 
 size_t resends_count(const struct resends *resends);
--- a/libfilberthall/agree/rules.c
+++ b/libfilberthall/agree/rules.c
@@ -47,7 +47,7 @@
 	snprintf(team, RULE_NAME_SIZE, "%.*s", (int)strcspn(start, "/"), start);
 }
 
-/* Number of a field of a setting, or its default. */
+/* The number in a field of a setting, or the default. */
 static double rules_field(const struct setting *setting, const char *field)
 {
 	const json_t *value = json_object_get(setting->value, field);
--- a/libfilberthall/agree/rules.h
+++ b/libfilberthall/agree/rules.h
@@ -7,8 +7,8 @@
 #include "core/rule.h"
 
 /**
- * Typed views of the settings tree. A view is built when its path is set
- * and lives until the path changes, so a lookup costs one hash.
+ * Typed views of the settings tree. A view is built when its path is set and is
+ * valid until the path changes, so a lookup costs one hash.
  */
 
 /** The view of that name, borrowed, or NULL. */
@@ -37,13 +37,13 @@
 			  void *data);
 
 /**
- * A number of the settings, or the schema's default where it isn't set, such
- * as rules_number(settings, "site/keys", "stale_ms"). Booleans are 0 and 1.
+ * A number in the settings, or the schema's default if it isn't set, such as
+ * rules_number(settings, "site/keys", "stale_ms"). Booleans are 0 and 1.
  */
 double rules_number(const struct settings *settings, const char *path,
 		    const char *field);
 
-/** The same for text, borrowed; `fallback` where it isn't set. */
+/** The same for text, borrowed; `fallback` if it isn't set. */
 const char *rules_text(const struct settings *settings, const char *path,
 		       const char *field, const char *fallback);
 
--- a/libfilberthall/agree/schema.c
+++ b/libfilberthall/agree/schema.c
@@ -10,7 +10,7 @@
 #include "base/bytes.h"
 #include "core/rule.h"
 
-/* Whether `path` begins with the pattern; `*len` gets the matching length. */
+/* Whether `path` begins with a match of the pattern; `*len` gets its length. */
 static bool schema_pattern_matches(const char *pattern, const char *path,
 				   size_t *len)
 {
@@ -113,7 +113,7 @@
 	return at != text && at - text < RULE_NAME_SIZE;
 }
 
-/* What a field allows, in words. */
+/* Describe the values that a field allows. */
 static void schema_allowed(const struct schema_field *field, char *text,
 			   size_t size)
 {
@@ -194,7 +194,7 @@
 	return false;
 }
 
-/* The value as in a message, cut short. */
+/* Format a value for a message, truncated to `size`. */
 static void schema_show(const json_t *value, char *text, size_t size)
 {
 	size_t len;
@@ -340,7 +340,10 @@
 	return schema_set_fault(fault, RESULT_SETTING_UNKNOWN, path, "");
 }
 
-/* Each part that the pattern leaves open must be a name. */
+/*
+ * Whether each path component that matches '*' is a valid name; if not, `name`
+ * gets the invalid one.
+ */
 static bool schema_names_hold(const char *pattern, const char *path,
 			      char name[RULE_NAME_SIZE])
 {
--- a/libfilberthall/agree/schema.h
+++ b/libfilberthall/agree/schema.h
@@ -9,24 +9,24 @@
 #include "base/result.h"
 
 /**
- * What may stand at which path of the settings tree. One table says it: a
- * row for each kind of path, a row for each field with its type, bounds and
- * default. The same check runs before a change is accepted and offline
- * (`filberthall check FILE`), so a file that passes there is refused later
- * only for what the running tree adds.
+ * The schema of the settings tree. One table defines it: a row for each kind of
+ * path, and a row for each field with its type, range and default. The same
+ * check runs before a change is accepted and offline (`filberthall check
+ * FILE`), so a file that passes offline is refused later only because of the
+ * other settings in the tree.
  */
 
-/** What is wrong with a value. All text is borrowed until the next call. */
+/** Describes an invalid value. */
 struct schema_fault {
 	enum result code;
 	char path[256];
-	char field[128];   /**< empty if the path itself is at fault */
+	char field[128];   /**< empty if the path itself is invalid */
 	char reason[256];  /**< such as "is 7" */
 	char allowed[512]; /**< such as "a whole number from 0 to 3" */
 };
 
 /**
- * Check one path and its value.
+ * Check a value against the schema of its path.
  *
  * Returns RESULT_OK, RESULT_SETTING_UNKNOWN (no such path or field) or
  * RESULT_SETTING_VALUE, and fills `fault`.
@@ -34,23 +34,23 @@
 enum result schema_check(const char *path, const json_t *value,
 			 struct schema_fault *fault);
 
-/** A fault as one line for people: "PATH: FIELD REASON; allowed: ...". */
+/** Format a fault as one line: "PATH: FIELD REASON; allowed: ...". */
 void schema_fault_format(const struct schema_fault *fault, char *text,
 			 size_t size);
 
 /**
- * Length of the part of `path` that names a settings object; what follows is
- * a field. 0 if no such path exists.
+ * Length of the part of `path` that names a settings object; the rest names a
+ * field. 0 if no such path exists.
  */
 size_t schema_object_length(const char *path);
 
-/** Whether a longer path that begins with `path` can be an object's. */
+/** Whether `path` is a prefix of some object's path. */
 bool schema_is_prefix(const char *path);
 
-/** Default of a field as in the table; a row's object path and field. */
+/** Default value of a field, by the object's path and the field's name. */
 double schema_default(const char *path, const char *field);
 
-/** The table as Markdown, for docs/SETTINGS.md. New string, to be freed. */
+/** The table as Markdown, for docs/SETTINGS.md. The caller frees it. */
 char *schema_describe(void);
 
 #endif
--- a/libfilberthall/agree/schema_table.h
+++ b/libfilberthall/agree/schema_table.h
@@ -4,23 +4,23 @@
 #include <stdbool.h>
 
 /**
- * The table behind agree/schema.h: the only list of settings. A new setting
- * is a new row here.
+ * The table of all settings, used by agree/schema.h. A new setting is a new row
+ * here.
  */
 
-/** Order matters: up to VALUE_REAL the default is a number. */
+/** The order matters: kinds up to VALUE_REAL have a numeric default. */
 enum value_kind {
 	VALUE_BOOL,
 	VALUE_INT,
 	VALUE_REAL,
-	VALUE_NAME,   /**< of a class, model, zone ... */
-	VALUE_TEXT,   /**< min..max bytes */
+	VALUE_NAME,   /**< name of a class, model, zone etc. */
+	VALUE_TEXT,   /**< of min to max bytes */
 	VALUE_CHOICE, /**< one of `choices` */
-	VALUE_LIST    /**< min..max objects with the fields of `item` */
+	VALUE_LIST    /**< min to max objects with the fields of `item` */
 };
 
 struct schema_field {
-	const char *name; /**< NULL ends a table */
+	const char *name; /**< NULL ends the table */
 	enum value_kind kind;
 	double min;
 	double max;
@@ -32,7 +32,7 @@
 };
 
 struct schema_row {
-	const char *pattern; /**< '*' stands for one name; NULL ends */
+	const char *pattern; /**< '*' matches one name; NULL ends the table */
 	const struct schema_field *fields;
 	const char *purpose;
 };
--- a/libfilberthall/agree/setting.h
+++ b/libfilberthall/agree/setting.h
@@ -12,11 +12,11 @@
 #include "core/rule.h"
 
 /**
- * Inside of the settings tree, shared by settings.c, rules.c and cross.c;
- * no one else includes it.
+ * Internals of the settings tree, shared by settings.c, settings_change.c,
+ * rules.c and cross.c; not for other modules.
  */
 
-/** What a path holds; RULE_OTHER has no typed view. */
+/** The kind of object at a path; RULE_OTHER has no typed view. */
 enum rule_kind {
 	RULE_CLASS,
 	RULE_ORGANISATION,
@@ -25,21 +25,24 @@
 	RULE_KINDS
 };
 
-/** One path that is set. */
+/** One path that is set, with its value. */
 struct setting {
 	struct map_node node;	   /**< in settings.paths */
-	struct map_node name_node; /**< in settings.names, if it has a view */
+	struct map_node name_node; /**< in settings.names, if it has a typed
+	                           view */
 	char *path;
 	json_t *value;
 	int64_t version;
 	int64_t time_us;
 	char *by;
 	enum rule_kind kind;
-	const char *name; /**< last part of the path */
+	const char *name; /**< last component of `path` */
 	void *view;	  /**< struct class_rule etc., or NULL */
 };
 
-/** One path before and after a change; NULL where it wasn't set. */
+/**
+ * One path before and after a change; a value is NULL if the path isn't set.
+ */
 struct setting_edit {
 	struct map_node node;
 	char *path;
@@ -50,7 +53,7 @@
 	char *old_by;
 };
 
-/** A change that was accepted, for history and revert. */
+/** An accepted change, kept for history and revert. */
 struct setting_record {
 	struct list node;
 	int64_t version;
@@ -62,19 +65,20 @@
 
 struct settings {
 	struct map paths;
-	struct map names; /**< by kind and name; a clash is refused later */
+	struct map names; /**< by kind and name; cross_check() refuses
+	                  duplicates */
 	struct list history;
 	size_t n_history;
 	size_t n_history_items;
 };
 
-/** Kind of a path, and its last part. */
+/** The kind of a path; `*name` gets its last component. */
 enum rule_kind rule_kind_of(const char *path, const char **name);
 
-/** Build or rebuild the typed view after the value was set. */
+/** Build or rebuild the typed view after a change of the value. */
 void rules_build_view(struct setting *setting);
 
-/** Hash of a kind and name, as in settings.names. */
+/** Hash of a kind and name, for settings.names. */
 uint64_t rules_name_hash(enum rule_kind kind, const char *name);
 
 /** The setting of that kind and name that isn't `other`, or NULL. */
@@ -84,27 +88,28 @@
 struct setting *settings_find(const struct settings *settings,
 			      const char *path);
 
-/**
- * Set a path to `value` (borrowed; NULL deletes), whatever the schema says.
- */
+/** Set a path to `value` (borrowed; NULL deletes) without any check. */
 void settings_put(struct settings *settings, const char *path, json_t *value,
 		  int64_t version, int64_t time_us, const char *by);
 
-/** Whether `path` is `prefix` or lies below it; "" holds everything. */
+/** Whether `path` is `prefix` or below it; every path is below "". */
 bool settings_is_below(const char *path, const char *prefix);
 
-/** Append a record to history and drop what is too old. Takes `changes`. */
+/**
+ * Append a record to the history and drop the oldest beyond the limits. Takes
+ * ownership of `changes`.
+ */
 void settings_record(struct settings *settings,
 		     const struct settings_author *author, json_t *changes);
 
-/** The kept record of a version, or NULL. */
+/** The record of the change with that version, or NULL if not kept. */
 struct setting_record *settings_find_record(const struct settings *settings,
 					    int64_t version);
 
 /**
- * What the schema of one value can't see: names that are taken elsewhere,
- * routes to classes that don't exist, shares that add up to too much. Checks
- * the whole tree, with `edits` already made.
+ * Check what the schema of a single value can't: names that are in use
+ * elsewhere, routes to classes that don't exist, shares whose sum is too large.
+ * Checks the whole tree after `edits` have been applied.
  */
 enum result cross_check(const struct settings *settings,
 			const struct setting_edit *edits, size_t n,
--- a/libfilberthall/agree/settings.c
+++ b/libfilberthall/agree/settings.c
@@ -144,7 +144,10 @@
 	return strcmp((*left)->path, (*right)->path);
 }
 
-/* All settings at or below `prefix`, sorted by path; to be freed. */
+/*
+ * All settings at or below `prefix`, sorted by path; the caller frees the
+ * array.
+ */
 static struct setting **settings_sorted(const struct settings *settings,
 					const char *prefix, size_t *n)
 {
@@ -191,8 +194,8 @@
 }
 
 /*
- * An apply of a whole file is one change with thousands of items; without a
- * bound on items, history could grow far beyond the tree itself.
+ * Applying a whole file is one change with thousands of items; without a limit
+ * on items, the history could grow far beyond the tree itself.
  */
 #define SETTINGS_HISTORY_ITEMS 16384
 
--- a/libfilberthall/agree/settings.h
+++ b/libfilberthall/agree/settings.h
@@ -11,36 +11,36 @@
 
 /**
  * The settings tree: JSON objects under paths such as
- * "team/calves/class/lodgement", one subtree a team. Part of the agreed
- * state: it changes only by entries of the log, so all daemons hold the same
- * tree at the same index.
+ * "team/calves/class/lodgement", with one subtree per team. Part of the agreed
+ * state: it changes only by log entries, so all daemons have the same tree at
+ * the same index.
  *
- * Failures answered: two operators who change the same number at once (the
- * version of a path is the log index of its last change, never used twice, so
- * compare-and-set lets exactly one win); an operator who sends again after a
- * lost answer (change ids, agree/change.h); a bad value (agree/schema.h, the
- * whole change is refused); a change that turns out wrong (revert).
+ * Failures handled: two operators change the same value at once (the version of
+ * a path is the log index of its last change and never reused, so compare-and-
+ * set lets exactly one succeed); an operator sends a command again after a lost
+ * answer (change ids, agree/apply.h); an invalid value (agree/schema.h, the
+ * whole change is refused); a change that turns out to be wrong (revert).
  *
- * History is kept for SETTINGS_HISTORY changes: at 4,300 changes a day that
- * is about three hours, enough to undo a mistake that was noticed, and small
- * enough for a diskless daemon's memory.
+ * The history keeps SETTINGS_HISTORY changes: at 4,300 changes a day that is
+ * about three hours, enough to undo a mistake that was noticed, and small
+ * enough for the memory of a daemon without a disk.
  */
 #define SETTINGS_HISTORY 512
 
 struct settings;
 
-/** One path to be set; a NULL value deletes it. */
+/** One path to be set, or deleted if `value` is NULL. */
 struct settings_item {
-	const char *path; /**< whole path, or path/FIELD for one field */
+	const char *path; /**< path of an object, or path/FIELD for one field */
 	json_t *value;	  /**< borrowed */
-	int64_t version;  /**< expected; SETTINGS_ANY for no comparison */
+	int64_t version;  /**< expected version; SETTINGS_ANY accepts any */
 };
 
 #define SETTINGS_ANY (-1)
 
-/** Who changes the tree, when, and where in the log. */
+/** Author, time and log index of a change. */
 struct settings_author {
-	int64_t index;	       /**< log index: the new version */
+	int64_t index;	       /**< log index, which is the new version */
 	int64_t time_us;       /**< log time */
 	const char *by;	       /**< key id of the operator */
 	const char *change_id; /**< or NULL */
@@ -57,21 +57,21 @@
 		     int64_t *version);
 
 /**
- * All paths at or below `prefix` ("" for the whole tree), as a new object
- * {"PATH": {"value": ..., "version": N, "by": ...}} in order of path.
+ * All paths at or below `prefix` ("" for the whole tree), sorted, as a new
+ * object {"PATH": {"value": ..., "version": N, "by": ...}}.
  */
 json_t *settings_list(const struct settings *settings, const char *prefix);
 
-/** Number of paths set. */
+/** Number of paths that are set. */
 size_t settings_count(const struct settings *settings);
 
 /**
- * Change several paths, all or none.
+ * Change several paths atomically.
  *
- * Returns RESULT_OK; RESULT_CONFLICT if a version differs, with a message
- * and in `answer` both values; RESULT_SETTING_UNKNOWN, RESULT_SETTING_VALUE
- * or RESULT_NOT_FOUND with a message that names path, field, reason and what
- * is allowed. `answer` (a JSON object) gets "version" and "paths" on success.
+ * Returns RESULT_OK; RESULT_CONFLICT if a version differs, with a message, and
+ * with both values in `answer`; RESULT_SETTING_UNKNOWN, RESULT_SETTING_VALUE or
+ * RESULT_NOT_FOUND with a message that names path, field, reason and what is
+ * allowed. `answer` (a JSON object) gets "version" and "paths" on success.
  */
 enum result settings_change(struct settings *settings,
 			    const struct settings_item *items, size_t n,
@@ -80,8 +80,8 @@
 			    const struct error_handler *handler);
 
 /**
- * The same for an object of path to value, null to delete. `versions` (may
- * be NULL) is an object of path to expected version.
+ * The same for an object that maps paths to values, null to delete. `versions`
+ * (may be NULL) maps paths to expected versions.
  */
 enum result settings_change_values(struct settings *settings,
 				   const json_t *values, const json_t *versions,
@@ -90,21 +90,24 @@
 				   const struct error_handler *handler);
 
 /**
- * Put back what the change with that version replaced. Results as
- * settings_change(); RESULT_NOT_FOUND if history no longer holds it,
- * RESULT_CONFLICT if one of its paths was changed since.
+ * Undo the change with that version. Results as for settings_change();
+ * RESULT_NOT_FOUND if the history no longer has it, RESULT_CONFLICT if one of
+ * its paths was changed since.
  */
 enum result settings_revert(struct settings *settings, int64_t version,
 			    const struct settings_author *author,
 			    json_t *answer,
 			    const struct error_handler *handler);
 
-/** Paths a kept change touched, as a new array, or NULL if not kept. */
+/**
+ * Paths that a change in the history touched, as a new array, or NULL if it is
+ * not kept.
+ */
 json_t *settings_change_paths(const struct settings *settings, int64_t version);
 
 /**
- * What setting `values` (object of path to value, null to delete) would
- * change, as a new array of {"path", "old", "new"}.
+ * The differences that setting `values` (an object of path to value, null to
+ * delete) would make, as a new array of {"path", "old", "new"}.
  */
 json_t *settings_diff(const struct settings *settings, const json_t *values);
 
@@ -116,13 +119,13 @@
 json_t *settings_history(const struct settings *settings, const char *prefix,
 			 size_t limit);
 
-/** Call `visit` for each path under "team/" or "site/", in order of set. */
+/** Call `visit` for each path, in the order in which they were set. */
 void settings_visit(const struct settings *settings,
 		    void (*visit)(void *data, const char *path, json_t *value,
 				  int64_t version),
 		    void *data);
 
-/** The whole state as JSON, for a snapshot; and back. */
+/** Convert the whole state to JSON, for a snapshot, and load it again. */
 json_t *settings_save(const struct settings *settings);
 enum result settings_load(struct settings *settings, const json_t *saved);
 
--- a/libfilberthall/agree/settings_change.c
+++ b/libfilberthall/agree/settings_change.c
@@ -7,7 +7,7 @@
 #include "base/alloc.h"
 #include "base/cleanup.h"
 
-/* A change as it is being worked out. */
+/* A change that is being prepared. */
 struct settings_plan {
 	struct setting_edit *edits;
 	size_t n;
@@ -44,7 +44,7 @@
 		       key);
 }
 
-/* The edit of an object path, new if there is none yet. */
+/* The edit of an object's path; added if there is none yet. */
 static struct setting_edit *settings_plan_edit(struct settings_plan *plan,
 					       struct settings *settings,
 					       const char *item_path,
@@ -158,7 +158,7 @@
 					settings_or_null(item->value)));
 }
 
-/* Compare-and-set: each expected version must be the present one. */
+/* Compare-and-set: each expected version must be the current one. */
 static enum result settings_plan_compare(const struct settings_plan *plan,
 					 const struct settings *settings,
 					 const struct settings_item *items,
@@ -229,7 +229,7 @@
 			 settings_or_null(edit->new_value));
 }
 
-/* Keep the change in history and say in `answer` what it did. */
+/* Add the change to the history and describe it in `answer`. */
 static void settings_plan_finish(const struct settings_plan *plan,
 				 struct settings *settings,
 				 const struct settings_author *author,
@@ -305,7 +305,7 @@
 	return settings_change(settings, items, n, author, answer, handler);
 }
 
-/* Paths that were changed after a record, as keys of an object. */
+/* The paths that were changed after a record, as keys of an object. */
 static json_t *settings_changed_since(const struct settings *settings,
 				      const struct setting_record *record)
 {
@@ -326,9 +326,9 @@
 }
 
 /*
- * Undone only where nothing was changed since: else both are shown. A path
- * that is deleted has version 0 whichever change deleted it, so history must
- * tell whether that was the change to be undone.
+ * A path is reverted only if it wasn't changed since; otherwise the conflict
+ * shows both values. A deleted path has version 0 whichever change deleted it,
+ * so the history must show whether it was the change to be undone.
  */
 static void settings_revert_item(struct settings_item *item,
 				 const json_t *change, const json_t *since,
@@ -358,7 +358,7 @@
 
 	if (!record)
 		return error_report(handler, RESULT_NOT_FOUND,
-				    "history holds no change %lld",
+				    "no change %lld in the history",
 				    (long long)version);
 	changes = json_incref(record->changes);
 	since = settings_changed_since(settings, record);
--- a/libfilberthall/agree/snapshot.c
+++ b/libfilberthall/agree/snapshot.c
@@ -51,7 +51,10 @@
 	       resends_load(agreed->resends, resends) == RESULT_OK;
 }
 
-/* The claims behind the rest: as many as it says, and nothing after them. */
+/*
+ * Load the claims that follow the rest of the state; their number must be as
+ * stated, with nothing after them.
+ */
 static bool snapshot_load_claims(struct agreed *agreed, const json_t *saved,
 				 const void *snapshot, size_t len, size_t at)
 {
@@ -72,8 +75,8 @@
 }
 
 /*
- * Loaded beside the present state and exchanged only when whole, so that a
- * damaged snapshot leaves a daemon with what it had.
+ * The snapshot is loaded into a new state, which replaces the current one only
+ * if it is complete: a damaged snapshot changes nothing.
  */
 enum result agreed_restore(struct agreed *agreed, const void *snapshot,
 			   size_t len)
--- a/libfilberthall/agree/yaml.c
+++ b/libfilberthall/agree/yaml.c
@@ -12,7 +12,7 @@
 
 #define SETTINGS_PATH_SIZE 256
 
-/* A file of settings while it is being read. */
+/* A file of settings that is being read. */
 struct settings_file {
 	const char *name;
 	const struct error_handler *handler;
@@ -76,7 +76,7 @@
 	return value;
 }
 
-/* Remember where `path`, or a field below it, was written. */
+/* Record the position of `path`, or of a field of its object, in the file. */
 static void settings_file_note(struct settings_file *file,
 			       const struct yaml *yaml, const char *path,
 			       const char *field)
@@ -89,7 +89,10 @@
 	json_object_set_new(file->places, name, json_string(place));
 }
 
-/* The same for each field, named as in messages: "routes[2].class". */
+/*
+ * Record the position of each field, under its name in messages:
+ * "routes[2].class".
+ */
 static void settings_file_note_fields(struct settings_file *file,
 				      const struct yaml *yaml, const char *path,
 				      const char *prefix)
@@ -147,7 +150,7 @@
 	json_object_set_new(file->values, path, value);
 }
 
-/* Walk down to where the schema has settings objects. */
+/* Descend to the paths at which the schema has settings objects. */
 static void settings_file_walk(struct settings_file *file,
 			       const struct yaml *yaml, const char *path)
 {
@@ -201,7 +204,9 @@
 	return file.code;
 }
 
-/* A message of the settings tree, "PATH: FIELD ...", gets its line. */
+/*
+ * Report a message of the settings tree, "PATH: FIELD ...", with its position.
+ */
 static void settings_file_cross(void *data, enum result code,
 				const char *message)
 {
--- a/libfilberthall/agree/yaml.h
+++ b/libfilberthall/agree/yaml.h
@@ -8,8 +8,8 @@
 #include "base/result.h"
 
 /**
- * YAML text of settings (base/yaml.h) as JSON values. Duplicate keys are an
- * error, since one of the two would be lost silently.
+ * Conversion of settings in YAML (base/yaml.h) to JSON values. Duplicate keys
+ * are an error, since one of the two would be lost silently.
  */
 
 /**
@@ -17,10 +17,10 @@
  *
  *	team: {calves: {class: {lodgement: {tier: 0}}}}
  *
- * into `values`, an object of path to value (null deletes the path), each
- * value checked by its schema. `name` is the file's name for messages.
+ * into `values`, an object of path to value (null deletes the path), and check
+ * each value against its schema. `name` is the file name for messages.
  *
- * Returns RESULT_OK and a new object; else RESULT_SETTING_SYNTAX,
+ * Returns RESULT_OK and a new object; otherwise RESULT_SETTING_SYNTAX,
  * RESULT_SETTING_UNKNOWN or RESULT_SETTING_VALUE. Each fault is reported to
  * `handler` as "NAME:LINE:COLUMN: PATH: FIELD REASON; allowed: ...".
  */
@@ -29,14 +29,14 @@
 			       const struct error_handler *handler);
 
 /**
- * Check a file as if it were the whole tree of a new site: as
- * yaml_read_settings(), and its values against each other.
+ * Check a file as the whole tree of a new site: like yaml_read_settings(), and
+ * also the values against each other.
  */
 enum result yaml_check_settings(const char *name, const char *text, size_t len,
 				const struct error_handler *handler);
 
 /**
- * Read any YAML text, such as one value on a command line, as JSON. Syntax
+ * Convert any YAML text, such as a value on the command line, to JSON. Syntax
  * errors are reported as "NAME:LINE:COLUMN: message".
  */
 enum result yaml_read(const char *name, const char *text, size_t len,
--- a/tests/agree/disk.h
+++ b/tests/agree/disk.h
@@ -3,16 +3,16 @@
 
 #include "daemon/disk/wal.h"
 
-/** A data folder for tests, with file calls that can be made to fail. */
+/** A data folder for tests, whose file operations can be made to fail. */
 struct disk {
 	char *folder;
 	struct file_ops ops;
-	int writes_left; /**< full disk after so many writes; -1 never */
+	int writes_left; /**< writes until the disk is full; -1 for never */
 	bool sync_fails; /**< each fdatasync fails from now on */
 	bool read_only;	 /**< files can't be opened for writing */
 	bool rename_fails;
-	int64_t synced;	  /**< last ticket told */
-	int failures;	  /**< calls of failed() */
+	int64_t synced;	  /**< last ticket reported as synced */
+	int failures;	  /**< number of calls of failed() */
 	enum result code; /**< of the last failure */
 	char *message;	  /**< last error reported */
 	struct error_handler errors;
@@ -21,11 +21,11 @@
 void disk_init(struct disk *disk);
 void disk_clear(struct disk *disk);
 
-/** Open the log of the folder. */
+/** Open the log in the folder. */
 enum result disk_open(struct disk *disk, struct raft_persistent_state *saved,
 		      struct wal **wal);
 
-/** Queue an entry with that text, and its sync as a ticket. */
+/** Queue an entry with that text, and a sync with that ticket. */
 void disk_put_entry(struct wal *wal, int64_t index, int64_t term,
 		    const char *text);
 void disk_put_sync(struct wal *wal, int64_t ticket);
@@ -34,7 +34,7 @@
 void disk_put_snapshot(struct wal *wal, int64_t index, int64_t term,
 		       const char *text);
 
-/** Path of the only or last file whose name begins so; to be freed. */
+/** Path of the last file, by name, with that prefix, or NULL; to be freed. */
 char *disk_find(const struct disk *disk, const char *prefix);
 
 #endif
--- a/tests/agree/saved.h
+++ b/tests/agree/saved.h
@@ -3,7 +3,7 @@
 
 #include "agree/raft.h"
 
-/** A model of a disk: what the effect of a log, once synced, leaves there. */
+/** A model of a disk: apply a log effect to the stored state. */
 void saved_apply(struct raft_persistent_state *saved,
 		 const struct effect *effect);
 
--- a/tests/agree/sim.c
+++ b/tests/agree/sim.c
@@ -23,7 +23,7 @@
 	va_end(args);
 }
 
-/* the node's own clock: true time at its own rate */
+/* the node's own clock: simulated time at the node's rate */
 int64_t sim_clock(const struct sim *sim, const struct sim_node *node)
 {
 	return sim->now_us + sim->now_us / 1000000 * node->rate_ppm +
@@ -209,7 +209,10 @@
 	struct sim_node *node = &sim->nodes[at];
 
 	options.seed = rng_next(&sim->rng);
-	/* one entry a message in every other run: old entries go alone */
+	/*
+	 * one entry per message in every other run, so that old entries are
+	 * replicated alone
+	 */
 	if (sim->options.seed % 2) {
 		options.max_batch_bytes = 1;
 		options.max_inflight = 2;
@@ -250,7 +253,8 @@
 	node->state.hash = 0;
 	node->raft = raft_new(&options, now_us);
 	if (raft_restore(node->raft, &node->saved) != RESULT_OK)
-		sim_violate(sim, "node %d: its disk makes no sense", at);
+		sim_violate(sim, "node %d: its stored state is inconsistent",
+			    at);
 	if (at == 0 && !sim->founded) {
 		sim->founded = true;
 		raft_bootstrap(node->raft, now_us, &effects);
@@ -348,7 +352,7 @@
 	sim->now_us = until_us;
 }
 
-/* A value proposed in calm must reach every node that is left. */
+/* Whether all running nodes have applied the entries up to `target`. */
 static bool sim_converged(struct sim *sim, int64_t target)
 {
 	int i;
@@ -373,7 +377,7 @@
 		if (sim_converged(sim, target))
 			return;
 	}
-	sim_violate(sim, "no progress in calm: %lld of %lld",
+	sim_violate(sim, "no progress without faults: %lld of %lld",
 		    (long long)sim->n_known, (long long)target);
 }
 
--- a/tests/agree/sim.h
+++ b/tests/agree/sim.h
@@ -7,18 +7,21 @@
 #include "agree/raft.h"
 
 /**
- * A group of Raft members in one thread under a seeded schedule: messages
- * are delayed, lost, doubled and reordered, disks lose what wasn't synced,
- * members crash, stop, restart and come back with an empty disk, the network
- * is cut both ways or one way, and each clock runs at its own rate. What comes
- * out of the logs is checked against one naive register after every step.
+ * A simulated group of Raft members in one thread, under a seeded schedule:
+ * messages are delayed, lost, duplicated and reordered; disks lose unsynced
+ * data; members crash, pause, restart and come back with an empty disk; the
+ * network is cut in both directions or in one; and each clock runs at its own
+ * rate. After every step the committed entries are checked against a simple
+ * model.
  */
 struct sim_options {
 	uint64_t seed;
 	enum raft_mutant mutant;
-	int64_t duration_us; /**< with faults; a calm phase follows */
-	bool lease_faults;   /**< mostly what could break a lease */
-	bool members_change; /**< losses for good and operators' changes */
+	int64_t duration_us; /**< time with faults; a phase without faults
+	                     follows */
+	bool lease_faults;   /**< mostly faults that could break a lease */
+	bool members_change; /**< permanent losses and membership changes by
+	                     operators */
 };
 
 struct sim_stats {
@@ -31,7 +34,10 @@
 	int64_t replaced;
 };
 
-/** Run one schedule; NULL if nothing was violated, else a text to free. */
+/**
+ * Run one schedule. Returns NULL if all checks held, otherwise a description of
+ * the violation, to be freed.
+ */
 char *sim_run(const struct sim_options *options, struct sim_stats *stats);
 
 #endif
--- a/tests/agree/sim_check.c
+++ b/tests/agree/sim_check.c
@@ -3,7 +3,10 @@
 #include "base/map.h"
 #include "sim_internal.h"
 
-/* The naive register, and what must hold after every step. */
+/*
+ * The model of the committed entries, and the invariants that are checked after
+ * every step.
+ */
 
 static void sim_learn(struct sim *sim, int at,
 		      const struct raft_committed *entry)
@@ -14,7 +17,7 @@
 	if (i >= SIM_INDICES)
 		return;
 	if (i > sim->n_known + 1) {
-		sim_violate(sim, "node %d: entry %lld came too early", at,
+		sim_violate(sim, "node %d: entry %lld is out of order", at,
 			    (long long)i);
 		return;
 	}
@@ -37,14 +40,15 @@
 	struct sim_node *node = &sim->nodes[at];
 
 	if (snapshot->len != sizeof(node->state)) {
-		sim_violate(sim, "node %d: a snapshot of wrong size", at);
+		sim_violate(sim, "node %d: snapshot of wrong size", at);
 		return;
 	}
 	memcpy(&node->state, snapshot->data, sizeof(node->state));
 	if (node->state.index != snapshot->index ||
 	    node->state.hash != sim->known_state[snapshot->index])
-		sim_violate(sim, "node %d: snapshot %lld isn't the register",
-			    at, (long long)snapshot->index);
+		sim_violate(sim,
+			    "node %d: snapshot %lld differs from the model", at,
+			    (long long)snapshot->index);
 }
 
 static void sim_compact(struct sim *sim, int at)
@@ -97,7 +101,7 @@
 		sim_violate(sim, "two leaders in term %lld", (long long)term);
 }
 
-/* A lease read is right only if nobody else has committed more meanwhile. */
+/* A lease read is correct only if no other node has committed more. */
 static void sim_check_read(struct sim *sim, int at)
 {
 	struct sim_node *node = &sim->nodes[at];
@@ -106,12 +110,17 @@
 		return;
 	sim->stats->reads++;
 	if (raft_applied_index(node->raft) < sim->n_known)
-		sim_violate(sim, "node %d: a read of %lld while %lld is known",
-			    at, (long long)raft_applied_index(node->raft),
-			    (long long)sim->n_known);
+		sim_violate(
+			sim,
+			"node %d: lease read at %lld while %lld is committed",
+			at, (long long)raft_applied_index(node->raft),
+			(long long)sim->n_known);
 }
 
-/* The receiver ignores fencing numbers; an order lasts its whole timeout. */
+/*
+ * Orders of different nodes must not overlap. The receiver is assumed to ignore
+ * fencing numbers, and an order to take its whole timeout.
+ */
 static void sim_check_order(struct sim *sim, int at)
 {
 	struct sim_node *node = &sim->nodes[at];
@@ -132,7 +141,7 @@
 		node->order_end_us = sim->now_us + timeout_us;
 }
 
-/* Nobody may believe that it is fresher than what it has applied. */
+/* Check the lease reads of all running nodes. */
 static void sim_check_all_reads(struct sim *sim)
 {
 	int i;
--- a/tests/agree/sim_disk.c
+++ b/tests/agree/sim_disk.c
@@ -2,7 +2,7 @@
 #include "saved.h"
 #include "sim_internal.h"
 
-/* A node's disk: what was synced stays, the rest may go. */
+/* A node's disk: synced writes are kept, the others may be lost. */
 
 void sim_settle_disk(struct sim_node *node, int64_t ticket)
 {
@@ -20,7 +20,7 @@
 	}
 }
 
-/* What wasn't synced is lost, but for some first part of it. */
+/* Lose the unsynced writes, except for a random number of the first ones. */
 void sim_lose_unsynced(struct sim *sim, struct sim_node *node)
 {
 	uint64_t kept = rng_below(&sim->rng, 2) ? rng_below(&sim->rng, 4) : 0;
--- a/tests/agree/sim_fault.c
+++ b/tests/agree/sim_fault.c
@@ -17,7 +17,10 @@
 	return -1;
 }
 
-/** Of those who believe that they lead, the one elected last. */
+/**
+ * Of the nodes that consider themselves leader, the one elected last; -1 if
+ * none.
+ */
 static int sim_newest_leader(const struct sim *sim)
 {
 	int newest = -1;
@@ -81,11 +84,11 @@
 }
 
 /*
- * One voter loses sight of the leader and looks for votes, while the others
- * still hear it; then the leader is cut off, and they restart or don't. A
- * vote given now falls into the time for which the leader still trusts its
- * lease. Nothing is proposed meanwhile, so that the blind voter's log is as
- * good as theirs.
+ * One voter loses its link to the leader and asks for votes, while the others
+ * are still in contact with it; then the leader is isolated, and the others may
+ * restart. A vote given now falls into the time in which the leader still
+ * trusts its lease. Nothing is proposed meanwhile, so that the isolated voter's
+ * log is up to date.
  */
 static void sim_lose_sight(struct sim *sim)
 {
@@ -133,9 +136,9 @@
 }
 
 /*
- * Either a leader is cut off as soon as it is elected, and those who voted
- * for it crash before their votes are synced; or several leaders in a row
- * crash when they have written their first entries and sent few of them.
+ * Either the leader is isolated as soon as it is elected, and those who voted
+ * for it crash before their votes are synced; or several leaders in a row crash
+ * after they have written their first entries and sent few of them.
  */
 void sim_on_elected(struct sim *sim, int leader)
 {
@@ -151,7 +154,7 @@
 	sim_cut_and_restart_others(sim, leader, leader);
 }
 
-/* All crash within the time of a sync. */
+/* Most nodes crash within the duration of a sync. */
 static void sim_crash_all(struct sim *sim)
 {
 	int i;
@@ -177,7 +180,7 @@
 	sim_carry_out(sim, leader, &effects);
 }
 
-/* A VM loses its disk and comes back under a new identity. */
+/* A VM loses its disk and comes back with a new id. */
 static void sim_lose_disk(struct sim *sim, int at)
 {
 	struct sim_node *node = &sim->nodes[at];
@@ -190,9 +193,9 @@
 }
 
 /*
- * Whether the group is whole: three living voters, and no change of
- * membership under way. A majority of three bears one loss at a time; the
- * second one is borne once the repair of the first is committed.
+ * Whether the group tolerates a loss: it has three live voters, and no
+ * membership change is in progress. A majority of three tolerates one loss at a
+ * time, and a second one once the repair of the first is committed.
  */
 static bool sim_has_spare(const struct sim *sim)
 {
@@ -220,7 +223,7 @@
 	return voters == 3 && living == 3 && members_voters(members) == 3;
 }
 
-/* Lose a member's state for good, if the group has repaired the last loss. */
+/* Lose a member's disk, if the group has repaired the last loss. */
 static void sim_lose_one(struct sim *sim)
 {
 	int at = (int)rng_below(&sim->rng, SIM_LEARNER);
@@ -263,7 +266,7 @@
 	sim_restart_some(sim);
 }
 
-/* The network is mended, and a leader settles, before it is cut again. */
+/* The network heals and a leader is elected before the next fault. */
 static bool sim_lease_faults(struct sim *sim)
 {
 	if (!sim->options.lease_faults || sim->now_us < sim->quiet_until_us)
--- a/tests/agree/sim_internal.h
+++ b/tests/agree/sim_internal.h
@@ -5,7 +5,7 @@
 #include "sim.h"
 
 #define SIM_NODES 6
-#define SIM_LEARNER 5 /* the one without a disk */
+#define SIM_LEARNER 5 /* the node without a disk */
 #define SIM_INDICES 4096
 #define SIM_TERMS 4096
 #define SIM_DRIFT_PPM 100000
@@ -25,25 +25,25 @@
 	struct bytes body;
 };
 
-/** The state machine: a chained hash over all commands so far. */
+/** The state machine: a chained hash of all entries so far. */
 struct sim_state {
 	int64_t index;
 	uint64_t hash;
 };
 
 struct sim_node {
-	struct raft *raft; /* NULL while down */
+	struct raft *raft; /* NULL while the node is down */
 	uint64_t id;
 	uint64_t boot;
 	uint64_t generation;
-	bool gone;     /* for good */
-	bool paused;   /* SIGSTOP */
-	bool disk_bad; /* the next sync fails */
+	bool gone;     /* permanently lost */
+	bool paused;   /* as after SIGSTOP */
+	bool disk_bad; /* syncs fail until the next restart */
 	int64_t rate_ppm;
 	int64_t synced_at_us;
-	int64_t order_end_us; /* true time at which its last order is over */
+	int64_t order_end_us; /* simulated time at which its last order ends */
 	struct raft_persistent_state saved;
-	struct list pending; /* effects that aren't durable yet */
+	struct list pending; /* writes that aren't durable yet */
 	struct sim_state state;
 };
 
@@ -57,16 +57,18 @@
 	size_t n_heap;
 	size_t heap_size;
 	struct sim_node nodes[SIM_NODES];
-	bool cut[SIM_NODES][SIM_NODES]; /* from, to */
+	bool cut[SIM_NODES][SIM_NODES]; /* [from][to] */
 	bool calm;
-	int blind; /* voter that doesn't hear the leader */
+	int blind; /* voter without a link to the leader */
 	bool ambush;
 	bool mended;
-	int kills; /* of leaders just elected, still to come */
+	int kills; /*
+	 * how many leaders will still crash right after their election
+	 */
 	int64_t quiet_until_us;
 	bool founded;
 	uint64_t next_value;
-	/* the naive register */
+	/* the model: all committed entries */
 	int64_t n_known;
 	int64_t known_term[SIM_INDICES];
 	uint64_t known_entry[SIM_INDICES];
--- a/tests/agree/t-lease.c
+++ b/tests/agree/t-lease.c
@@ -16,9 +16,9 @@
 }
 
 /*
- * A new leader starts a server while the order of the old one, which doesn't
- * know yet that it was replaced, is still under way: two servers are paid
- * for.
+ * Guards against two servers being paid for: a new leader starts a server while
+ * an order of the old leader, which doesn't know yet that it was replaced, is
+ * still in progress.
  */
 static void next_holder_waits_the_old_lease_out(void)
 {
@@ -34,7 +34,10 @@
 	g_assert_cmpint(lease.term, ==, 7);
 }
 
-/* Old holder's clock slow, next holder's fast, both within the bound. */
+/*
+ * The old holder's clock is slow, the next holder's is fast, both within the
+ * drift bound.
+ */
 static void wait_covers_both_clocks_drift(void)
 {
 	struct lease old = new_lease();
@@ -46,7 +49,9 @@
 	lease_elected(&old, 1, 0);
 	lease_renew(&old, elected_us);
 	lease_elected(&next, 2, elected_us);
-	/* true times: a slow clock's second is longer, a fast one's shorter */
+	/*
+	 * in real time: a slow clock's second is longer, a fast one's shorter
+	 */
 	end_us = elected_us + (old.until_us - elected_us) * 100 / 99;
 	first_us = elected_us + (next.first_us - elected_us) * 100 / 101;
 	g_assert_cmpint(first_us, >=, end_us);
@@ -66,7 +71,7 @@
 	g_assert_cmpint(lease_order_deadline(&lease), ==, start_us + 4500 * MS);
 }
 
-/* A holder is stopped (SIGSTOP) and continued: its lease is over by then. */
+/* The holder is paused (SIGSTOP) and resumed after its lease has expired. */
 static void paused_holder_gives_no_order(void)
 {
 	struct lease lease = new_lease();
--- a/tests/agree/t-member.c
+++ b/tests/agree/t-member.c
@@ -48,7 +48,7 @@
 			     group->members.count, 1, group->now_us);
 }
 
-/* leader 1, voters 2 and 3 in three zones; learners 4 and 5 with disks */
+/* leader 1, voters 2 and 3, in three zones; learners 4 and 5 with disks */
 static void group_of_three(struct group *group, int64_t silent_s)
 {
 	group_init(group);
@@ -59,7 +59,7 @@
 	group_add(group, 5, "c", MEMBER_LEARNER, true, 0);
 }
 
-/* leader 1, voters 2 to 5 that are kept; learner 6 with a disk */
+/* leader 1, voters 2 to 5, with policy.keep_voters; learner 6 with a disk */
 static void group_of_five(struct group *group, int64_t silent_s)
 {
 	group_init(group);
@@ -89,7 +89,7 @@
 	expect(group_next(&group), MEMBER_NO_CHANGE, 0);
 }
 
-/* The next loss must find three living voters again. */
+/* After the repair there are three live voters again. */
 static void dead_voter_is_replaced_in_its_zone(void)
 {
 	struct member_change change;
@@ -126,8 +126,8 @@
 }
 
 /*
- * A voter's disk fails while another voter has just died, which nobody knows
- * yet: without the first, the group would wait for the dead one for ever.
+ * A voter's disk fails while another voter has just died unnoticed: if the
+ * first were removed, the group would wait for the dead one forever.
  */
 static void voter_stays_while_another_is_in_doubt(void)
 {
@@ -139,10 +139,11 @@
 }
 
 /*
- * Of five voters one has a full disk; a second one is gone for good, and the
- * VM in its place is ready to vote. The first must not be what goes: once a
- * third one lost its disk, those with the change and the one without it held
- * each other up for ever, though three of the five were there again.
+ * One of five voters has a full disk; a second one is lost for good, and the VM
+ * in its place is ready to vote. The first must not be removed: if a third
+ * voter then lost its disk, the members with that change and the one without it
+ * would block each other's election forever, although three of the five were
+ * present again.
  */
 static void full_disk_is_no_reason_while_another_is_in_doubt(void)
 {
@@ -151,7 +152,10 @@
 	group_of_five(&group, 1);
 	group.health[1].disk_failed = true;
 	expect(group_next(&group), MEMBER_NO_CHANGE, 0);
-	/* Once it is known which one is gone, that one goes, and comes last. */
+	/*
+	 * Once the lost voter is known, its replacement is promoted and it is
+	 * removed.
+	 */
 	group.health[2].last_contact_us =
 		group.now_us - group.policy.voter_timeout_us;
 	expect(group_next(&group), MEMBER_PROMOTE, 6);
@@ -160,8 +164,9 @@
 }
 
 /*
- * A voter is silent, and its VM's new start asks in: its folder is gone, so it
- * goes first and leaves the smaller quorum.
+ * A voter is unreachable, and its VM has joined again with an empty folder: the
+ * old member can't come back, so it is removed first, which leaves the smaller
+ * quorum.
  */
 static void emptied_voter_goes_before_its_successor_votes(void)
 {
@@ -172,7 +177,7 @@
 	expect(group_next(&group), MEMBER_REMOVE, 3);
 }
 
-/* A learner that just fell silent is no replacement. */
+/* A learner that doesn't answer just now is not a candidate. */
 static void silent_learner_is_no_candidate(void)
 {
 	struct group group;
@@ -183,7 +188,10 @@
 	expect(group_next(&group), MEMBER_NO_CHANGE, 0);
 }
 
-/* Two of five are lost and nobody can take over: three bear one more loss. */
+/*
+ * Two of five voters are lost and no member can replace them: a group of three
+ * tolerates one more loss.
+ */
 static void group_shrinks_if_nobody_can_take_over(void)
 {
 	struct member_change change;
@@ -214,7 +222,7 @@
 	expect(group_next(&group), MEMBER_NO_CHANGE, 0);
 }
 
-/* A first VM alone: two more join, and both become voters, not just one. */
+/* Two VMs join a single one: both become voters, not just one of them. */
 static void group_grows_to_an_odd_number(void)
 {
 	struct group group;
@@ -229,7 +237,7 @@
 	expect(group_next(&group), MEMBER_PROMOTE, 3);
 }
 
-/* All voters ended up in one zone; its loss would be the group's. */
+/* Two of three voters are in the same zone, whose loss would stop the group. */
 static void crowded_zone_gives_a_voter_up(void)
 {
 	struct member_change change;
@@ -244,8 +252,8 @@
 }
 
 /*
- * A VM comes back with an empty disk under a new identity; its old self is
- * given up sooner than a silent VM would be.
+ * A VM comes back with an empty disk and a new id: its old member is removed
+ * sooner than an unreachable VM would be.
  */
 static void old_self_of_a_returned_vm_goes_early(void)
 {
--- a/tests/agree/t-raft-mutants.c
+++ b/tests/agree/t-raft-mutants.c
@@ -6,8 +6,8 @@
 #define DURATION_US 16000000
 
 /*
- * Each guard of Raft taken away must be noticed, or the simulation proves
- * nothing about that guard.
+ * The simulation must notice when a guard of Raft is disabled; otherwise it
+ * proves nothing about that guard.
  */
 static void mutant_must_be_caught(gconstpointer data)
 {
@@ -25,7 +25,10 @@
 					       .members_change = seed / 2 % 2 };
 		char *violation = sim_run(&options, &stats);
 
-		/* a group that stands still is no proof against the guard */
+		/*
+		 * a group without progress doesn't show that the guard is
+		 * needed
+		 */
 		if (!violation || g_str_has_prefix(violation, "no progress")) {
 			g_free(violation);
 			continue;
@@ -58,7 +61,7 @@
 	for (mutant = RAFT_MUTANT_NONE + 1; mutant < RAFT_MUTANTS; mutant++) {
 		char *path;
 
-		/* chains of steps that chance hardly hits: t-raft.c */
+		/* random schedules hardly reach these; t-raft.c tests them */
 		if (mutant == RAFT_MUTANT_COMMIT_OLD_TERM ||
 		    mutant == RAFT_MUTANT_TWO_CHANGES)
 			continue;
--- a/tests/agree/t-raft-silence.c
+++ b/tests/agree/t-raft-silence.c
@@ -4,9 +4,12 @@
 #include "raft_bed.h"
 
 #define CANDIDATE 4
-#define BELOW 5 /* a learner without a disk, fed by the candidate */
+#define BELOW 5 /* a learner without a disk, downstream of the candidate */
 
-/* A leader of voters 1 to 3 and the two learners, all of them committed. */
+/*
+ * The leader of a group of voters 1 to 3 and two learners, whose membership is
+ * committed.
+ */
 struct silence_bed {
 	struct raft *raft;
 	struct effects effects;
@@ -17,7 +20,7 @@
 	raft_synced(bed->raft, bed->raft->last_ticket, now_us, &bed->effects);
 }
 
-/* A member's answer to what was sent at `echo_us`. */
+/* A member's answer to the message sent at `echo_us`. */
 static struct raft_message answer_to(const struct silence_bed *bed,
 				     int64_t echo_us)
 {
@@ -85,7 +88,7 @@
 	return members_find(raft_members(bed->raft), id);
 }
 
-/* Let the leader and voter 2 be in touch, without anybody else. */
+/* Run the leader with answers from voter 2 only. */
 static void bed_run(struct silence_bed *bed, int64_t from_us, int64_t to_us)
 {
 	int64_t now_us;
@@ -97,7 +100,10 @@
 	}
 }
 
-/* A dead VM becomes a voter by answers that waited for a paused leader. */
+/*
+ * Guards against the promotion of a dead VM: its last answers waited in a
+ * buffer while the leader was paused.
+ */
 static void late_answer_makes_no_voter(void)
 {
 	struct silence_bed bed;
@@ -117,7 +123,10 @@
 	bed_clear(&bed);
 }
 
-/* An operator's removal counts voters on by answers that waited. */
+/*
+ * Guards against a demotion without a quorum: the answers of dead voters waited
+ * in a buffer while the leader was paused.
+ */
 static void late_answer_spares_no_voter(void)
 {
 	struct member_change change = { .kind = MEMBER_DEMOTE };
@@ -138,7 +147,10 @@
 	bed_clear(&bed);
 }
 
-/* A learner that is gone lives on in a feeder's report that waited. */
+/*
+ * An upstream's report that waited in a buffer must not make a dead learner
+ * look alive.
+ */
 static void late_report_is_no_sign_of_life(void)
 {
 	struct raft_report report = { .id = BELOW, .age_ms = 500 };
@@ -156,7 +168,10 @@
 	bed_clear(&bed);
 }
 
-/* A voter that lives is replaced for the time its leader was paused. */
+/*
+ * Guards against the replacement of a live voter: the time in which the leader
+ * was paused must not count as time without contact.
+ */
 static void pause_of_the_leader_is_nobodys_silence(void)
 {
 	struct member_health health = { 0 };
--- a/tests/agree/t-raft-sim.c
+++ b/tests/agree/t-raft-sim.c
@@ -37,9 +37,9 @@
 }
 
 /*
- * An operator's accepted change is gone after a VM restarts, or two VMs give
- * orders at once: crashes lose what wasn't synced, links are cut both ways or
- * one way, clocks run at different rates.
+ * Guards against the loss of an accepted change, and against two VMs that give
+ * orders at once: crashes lose unsynced data, links are cut in both directions
+ * or in one, and clocks run at different rates.
  */
 static void nothing_accepted_is_lost_under_crashes_and_cuts(void)
 {
@@ -48,8 +48,8 @@
 
 /*
  * A VM is lost for good, the group repairs itself, and right after that a
- * second one is lost: what was accepted must still be there, and the group
- * must go on.
+ * second VM is lost: nothing accepted may be lost, and the group must keep
+ * working.
  */
 static void second_loss_right_after_a_repair_loses_nothing(void)
 {
@@ -57,9 +57,9 @@
 }
 
 /*
- * A leader that was cut off answers a read from its own state while another
- * one has changed it: voters restart, lose sight of the leader, and clocks
- * run as far apart as the bound allows.
+ * Guards against stale lease reads: an isolated leader answers a read while
+ * another leader has committed changes. Voters restart, lose the link to the
+ * leader, and clocks differ by as much as the bound allows.
  */
 static void lease_holds_under_cuts_restarts_and_drift(void)
 {
@@ -76,7 +76,7 @@
 	g_assert_cmpstr(sim_run(&options, &stats), ==, NULL);
 }
 
-/* A silent voter removed by repair just as another one is lost for good. */
+/* Repair removed an unreachable voter just as another one was lost for good. */
 static void silent_voter_stays_until_it_is_replaced(void)
 {
 	static const uint64_t failed_once[] = { 6672,  8863,  34920, 33345,
@@ -87,13 +87,13 @@
 		seed_must_hold(failed_once[i]);
 }
 
-/* A VM that is gone becomes a voter by what it said before it went. */
+/* A lost VM was promoted because of messages that it had sent before. */
 static void dead_member_becomes_no_voter(void)
 {
 	seed_must_hold(5066264);
 }
 
-/* The simulation takes more disks than a group of three bears. */
+/* The simulation must not lose more disks than a group of three tolerates. */
 static void losses_are_those_that_the_newest_leader_bears(void)
 {
 	seed_must_hold(5036496);
--- a/tests/agree/t-raft-tree.c
+++ b/tests/agree/t-raft-tree.c
@@ -20,7 +20,7 @@
 struct tree {
 	struct raft *rafts[MEMBERS];
 	bool dead[MEMBERS];
-	int64_t sent[MEMBERS]; /* messages so far */
+	int64_t sent[MEMBERS]; /* messages sent so far */
 	int64_t now_us;
 	struct list letters;
 };
@@ -93,7 +93,10 @@
 	tree_carry_out(tree, letter->to, &effects);
 }
 
-/* One round of letters a millisecond, a tick every 50. */
+/*
+ * Deliver all queued messages every millisecond, and tick each member every 50
+ * ms.
+ */
 static void tree_run(struct tree *tree, int64_t for_us)
 {
 	int64_t until_us = tree->now_us + for_us;
@@ -182,7 +185,10 @@
 	return -1;
 }
 
-/* Propose, and return how many living members lack it after a while. */
+/*
+ * Propose an entry, and return how many live members haven't applied it after
+ * `within_us`.
+ */
 static int tree_propose(struct tree *tree, int64_t within_us)
 {
 	int leader = tree_leader(tree);
@@ -223,8 +229,8 @@
 }
 
 /*
- * A key is withdrawn while 60 daemons follow: it must stop working on all of
- * them within seconds, though the leader doesn't feed them all itself.
+ * A withdrawn key must stop working on all of 60 daemons within seconds,
+ * although the leader doesn't replicate to all of them itself.
  */
 static void change_reaches_all_within_seconds(void)
 {
@@ -252,8 +258,8 @@
 }
 
 /*
- * VMs that pass changes on die: those behind them would keep a withdrawn key
- * alive. They find another feeder within seconds.
+ * Upstream VMs die: their downstream learners, on which a withdrawn key would
+ * stay valid, must find another upstream within seconds.
  */
 static void those_behind_a_dead_feeder_find_another(void)
 {
@@ -269,7 +275,9 @@
 	tree_clear(&tree);
 }
 
-/* The leader dies: all follow the next one without being told. */
+/*
+ * The leader dies: all members must follow the next one without any other help.
+ */
 static void all_follow_the_next_leader(void)
 {
 	struct tree tree;
--- a/tests/agree/t-raft.c
+++ b/tests/agree/t-raft.c
@@ -22,9 +22,9 @@
 }
 
 /*
- * An accepted change vanishes: a leader counts an entry of an earlier term as
- * committed because a quorum holds it, dies, and a member whose last entry is
- * of a later term is elected and replaces it.
+ * Guards against the loss of an accepted change: a leader counts an entry of an
+ * earlier term as committed because a quorum holds it, and dies; a member whose
+ * last entry has a later term is elected and replaces the entry.
  */
 static void entry_of_an_earlier_term_is_not_committed_alone(void)
 {
@@ -33,8 +33,8 @@
 }
 
 /*
- * A sync fails once and the next one claims success, while the kernel has
- * dropped the pages: what was acknowledged is gone after a restart.
+ * Guards against the loss of acknowledged entries: a sync fails once and the
+ * next one succeeds, although the kernel has dropped the pages.
  */
 static void failed_disk_ends_all_acknowledgements(void)
 {
@@ -94,8 +94,8 @@
 }
 
 /*
- * A voter tells its vote, crashes before the disk has it, and votes again in
- * the same term for another: two leaders.
+ * Guards against two leaders in a term: a voter sends its vote, crashes before
+ * the vote is on the disk, and votes again for another candidate.
  */
 static void vote_is_told_after_its_sync(void)
 {
@@ -122,8 +122,9 @@
 }
 
 /*
- * A voter restarts, has forgotten that it just heard the leader, and helps
- * to elect another one while the first still answers reads by its lease.
+ * Guards against a broken read lease: a voter restarts, no longer knows that it
+ * was in contact with the leader, and helps to elect another one while the
+ * first still answers reads by its lease.
  */
 static void restarted_voter_waits_before_it_votes(void)
 {
@@ -156,8 +157,8 @@
 }
 
 /*
- * The leader's clock runs slow and a voter's fast, both within 1 %: the
- * leader must stop reading before that voter may elect another.
+ * The leader's clock is slow and a voter's fast, both within 1 %: the leader
+ * must stop lease reads before that voter may elect another leader.
  */
 static void read_lease_leaves_room_for_drift(void)
 {
@@ -167,8 +168,8 @@
 }
 
 /*
- * A feeder hands on that it holds the same uncommitted entry as we do. When
- * the leader has replaced it meanwhile, its commit index must not commit
+ * An upstream relays the same uncommitted entry as this member has. If the
+ * leader has replaced that entry meanwhile, its commit index must not commit
  * ours.
  */
 static void feeder_confirms_only_what_is_committed(void)
@@ -198,8 +199,8 @@
 }
 
 /*
- * A VM without a disk votes, restarts, has forgotten it and votes again: two
- * leaders in one term.
+ * Guards against two leaders in a term: a VM without a disk votes, restarts,
+ * loses that vote and votes again.
  */
 static void member_without_a_disk_never_votes(void)
 {
@@ -221,7 +222,7 @@
 	raft_free(raft);
 }
 
-/* A peer sends rubbish: no crash, no effect but a line in the log. */
+/* Truncated messages from a peer have no effect but a log line. */
 static void malformed_messages_change_nothing(void)
 {
 	struct raft_message message = { .kind = RAFT_APPEND,
@@ -249,8 +250,9 @@
 }
 
 /*
- * A planned stop of the leader must not leave the group without one for a
- * whole election time, and it gives no order once it has begun to hand over.
+ * A planned stop of the leader must not leave the group without a leader for a
+ * whole election timeout, and the leader gives no order once the transfer has
+ * started.
  */
 static void leader_hands_over_and_gives_up_its_lease(void)
 {
@@ -292,7 +294,7 @@
 	return raft_change_member(raft, &change, 3 * SECOND + 2000, effects);
 }
 
-/* What becomes of a change, and of a second one right behind it. */
+/* The results of a membership change and of a second one right after it. */
 static void change_twice(enum raft_mutant mutant, bool own_committed,
 			 enum result codes[2])
 {
@@ -312,7 +314,7 @@
 	raft_free(raft);
 }
 
-/* Guards against two configurations whose quorums don't overlap. */
+/* Guards against two memberships whose quorums don't overlap. */
 static void members_change_one_at_a_time(void)
 {
 	enum result codes[2];
--- a/tests/agree/t-wal.c
+++ b/tests/agree/t-wal.c
@@ -5,7 +5,7 @@
 
 #include "disk.h"
 
-/* Two batches: term 1 with entries 1 and 2, then entry 3. */
+/* Write two batches: term 1 with entries 1 and 2, then entry 3. */
 static void write_two_batches(struct disk *disk)
 {
 	struct raft_persistent_state saved;
@@ -72,8 +72,8 @@
 }
 
 /*
- * Power goes in the middle of a write. Whatever part of it reached the disk,
- * the daemon starts, keeps all that was synced before, and takes new entries.
+ * Power is lost during a write. Whichever part of it reached the disk, the
+ * daemon must start, keep all that was synced before, and accept new entries.
  */
 static void torn_tail_is_cut_at_each_byte(void)
 {
@@ -102,8 +102,8 @@
 }
 
 /*
- * A bad block in the middle of the log: what had been acknowledged is gone.
- * The daemon must not start, or it would vote as if it had never held it.
+ * A damaged block in the middle of the log loses acknowledged entries. The
+ * daemon must not start, or it would vote as if it had never had them.
  */
 static void damaged_middle_stops_the_start_at_each_byte(void)
 {
@@ -143,7 +143,7 @@
 	g_assert_cmpint(disk->failures, ==, 1);
 	g_assert_cmpint(disk->code, ==, code);
 	g_assert_nonnull(disk->message);
-	/* the fault is over: nothing is written or promised all the same */
+	/* the fault is over, but still nothing is written or acknowledged */
 	disk->writes_left = -1;
 	disk->sync_fails = false;
 	disk_put_sync(wal, 4);
@@ -152,7 +152,7 @@
 	g_assert_cmpint(disk->failures, ==, 1);
 }
 
-/* The disk fills up while an operator sets something. */
+/* The disk fills up while an operator changes a setting. */
 static void full_disk_acknowledges_nothing(void)
 {
 	struct raft_persistent_state saved;
@@ -173,8 +173,8 @@
 }
 
 /*
- * A sync fails and the next one claims success although the kernel dropped
- * the pages: nothing may be acknowledged after the first failure.
+ * A sync fails and the next one succeeds although the kernel dropped the pages:
+ * nothing may be acknowledged after the first failure.
  */
 static void failed_sync_is_not_retried(void)
 {
@@ -205,7 +205,7 @@
 	disk_clear(&disk);
 }
 
-/* Two daemons are started on one folder: the second must not get in. */
+/* Two daemons are started with the same folder: the second one is refused. */
 static void second_daemon_on_a_folder_is_refused(void)
 {
 	struct raft_persistent_state saved;
@@ -224,8 +224,8 @@
 }
 
 /*
- * Somebody removes files of the folder. With its identity left, the member
- * would vote as its old self without what it had promised.
+ * Files of the folder are removed. If the member kept its id, it would vote
+ * without knowing what it had acknowledged before.
  */
 static void lost_files_stop_the_start(void)
 {
@@ -248,7 +248,7 @@
 	}
 }
 
-/* An emptied folder is a new member: its old self may have voted. */
+/* An emptied folder gets a new member id: the old member may have voted. */
 static void emptied_folder_has_a_new_identity(void)
 {
 	struct raft_persistent_state saved;
@@ -326,7 +326,10 @@
 	disk_clear(&disk);
 }
 
-/* A snapshot came from the leader: the log goes on far behind the old one. */
+/*
+ * A snapshot from the leader is installed: the log continues far after the old
+ * one.
+ */
 static void installed_snapshot_replaces_the_log(void)
 {
 	struct raft_persistent_state saved;
@@ -349,7 +352,10 @@
 	disk_clear(&disk);
 }
 
-/* A damaged snapshot holds accepted changes that nothing else holds. */
+/*
+ * A damaged snapshot must stop the start: its accepted changes are stored
+ * nowhere else.
+ */
 static void damaged_snapshot_stops_the_start(void)
 {
 	struct raft_persistent_state saved;
@@ -380,7 +386,7 @@
 	disk_clear(&disk);
 }
 
-/* A crash before the rename leaves the old snapshot, whole. */
+/* If the new snapshot can't be put in place, the old one stays intact. */
 static void snapshot_that_fails_leaves_the_old_one(void)
 {
 	struct raft_persistent_state saved;
