--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -29,7 +29,7 @@
  * counter behind it, so that one that was taken for dead and lives gets a new
  * number without a restart.
  */
-#define CORE_OWNER_FIRST(incarnation) ((uint64_t)(incarnation) << 16)
+#define CORE_FIRST_CLAIM_OWNER(incarnation) ((uint64_t)(incarnation) << 16)
 
 /** A class without a deadline must still end somewhere. */
 #define REQUEST_DEADLINE_US INT64_C(600000000)
@@ -43,7 +43,8 @@
 
 struct caller_request {
 	struct map_node node; /**< core.requests, by id */
-	struct list pending; /**< core.pending, while its claim isn't its own */
+	struct list
+		claim_waiters_node; /**< core.claim_waiters, while its claim isn't its own */
 	struct event *event; /**< EVENT_REQUEST, owned */
 	enum request_state state;
 	char *key_id;
@@ -73,13 +74,13 @@
 	struct bytes entry;
 	uint64_t admin_id; /**< operator's call that waits for it, or 0 */
 	int64_t sent_us;
-	int64_t give_up_us;
+	int64_t expires_us;
 	int64_t index; /**< as leader: where it was appended, else 0 */
 	int64_t term;
 };
 
 /** An operator's call that waits for the leader or for all daemons. */
-struct admin_call {
+struct pending_call {
 	struct list node;
 	uint64_t id;	    /**< of the listener, or a forwarded ticket */
 	uint64_t peer;	    /**< whom to answer, 0 for this listener */
@@ -87,7 +88,7 @@
 	uint64_t leader;    /**< whom it was sent to */
 	int64_t wait_index; /**< settings-wait: to be applied on all */
 	int64_t started_us;
-	int64_t give_up_us;
+	int64_t expires_us;
 };
 
 struct core {
@@ -108,24 +109,24 @@
 	struct spend *spend;
 	struct map requests;
 	struct map peers;
-	struct list pending; /**< requests that wait for a claim */
+	struct list claim_waiters; /**< requests that wait for a claim */
 	struct list proposals;
-	struct list admin_calls;
+	struct list pending_calls;
 	uint64_t next_ticket;
-	uint64_t owner; /**< incarnation under which claims are opened */
-	uint64_t allocator_told; /**< leader that the router knows of */
-	int64_t members_told;	 /**< index of the configuration acted upon */
-	int64_t peers_version;	 /**< grows as peers come and go */
-	int64_t peers_told;
+	uint64_t claim_owner; /**< incarnation under which claims are opened */
+	uint64_t router_leader;	     /**< leader that the router knows of */
+	int64_t links_members_index; /**< index of the configuration acted upon */
+	int64_t peers_version;	     /**< grows as peers come and go */
+	int64_t router_peers_version;
 	int64_t wall_us;
-	int64_t second_us;	/**< when the slow duties ran last */
-	int64_t demand_us;	/**< when demand was last told */
-	int64_t digest_us;	/**< when figures were last passed on */
-	int64_t offers_us;	/**< when offers were last asked for */
-	int64_t planned_us;	/**< when the fleet was last planned */
-	bool in_charge;		/**< at the last tick */
-	uint64_t window_ticket; /**< of the last window proposed */
-	int64_t stop_by_us;	/**< 0 unless stopping */
+	int64_t slow_tick_us;	     /**< when the slow duties ran last */
+	int64_t demand_sent_us;	     /**< when demand was last told */
+	int64_t digest_sent_us;	     /**< when figures were last passed on */
+	int64_t offers_requested_us; /**< when offers were last asked for */
+	int64_t planned_us;	     /**< when the fleet was last planned */
+	bool holds_lease;	     /**< at the last tick */
+	uint64_t window_ticket;	     /**< of the last window proposed */
+	int64_t stop_deadline_us;    /**< 0 unless stopping */
 	bool seeded;
 	bool fleet_updated; /**< the router has still to look again */
 	bool exited;
@@ -157,17 +158,17 @@
 void answer_refuse(struct core *core, const struct caller_request *request,
 		   enum result code, enum run_state run, int64_t retry_after_ms,
 		   const char *message);
-void answer_kept(struct core *core, const struct caller_request *request,
-		 const struct claim *claim);
+void answer_from_claim(struct core *core, const struct caller_request *request,
+		       const struct claim *claim);
 void answer_span(struct core *core, const struct caller_request *request,
 		 const char *name, int64_t start_us, enum result code,
 		 const char *detail);
 
 /* consensus.c: the log and what comes out of it */
 void consensus_start(struct core *core);
-void consensus_drain(struct core *core);
+void consensus_apply_committed(struct core *core);
 void consensus_tick(struct core *core);
-void consensus_second(struct core *core);
+void consensus_slow_tick(struct core *core);
 bool consensus_is_fresh(const struct core *core);
 struct entry_head consensus_head(struct core *core);
 
@@ -198,12 +199,13 @@
 		       const struct bytes *body);
 void operator_applied(struct core *core, struct proposal *proposal,
 		      const struct apply_result *applied);
-void operator_lost(struct core *core, struct proposal *proposal);
+void operator_timed_out(struct core *core, struct proposal *proposal);
 
-/* in_force.c: calls that wait until a change is in force everywhere */
-void in_force_wait(struct core *core, struct admin_call *waiting,
-		   const struct bytes *args);
-void in_force_tick(struct core *core);
+/* pending_call.c: calls that wait until a change is in force everywhere */
+void pending_call_wait_for_index(struct core *core,
+				 struct pending_call *waiting,
+				 const struct bytes *args);
+void pending_call_tick(struct core *core);
 void operator_answer(struct core *core, uint64_t peer, uint64_t id,
 		     enum result code, json_t *body);
 
@@ -219,18 +221,18 @@
 void gossip_cache(struct core *core, const struct event_cache *cache);
 void gossip_demand(struct core *core, uint64_t leader,
 		   const struct bytes *demand);
-void gossip_notice(struct core *core, const char *zone, int64_t in_us);
+void gossip_reclaim_notice(struct core *core, const char *zone, int64_t in_us);
 void gossip_drain(struct core *core, const char *address, bool drained);
 void gossip_message(struct core *core, uint64_t peer, const struct bytes *body);
-void gossip_welcome(struct core *core, uint64_t peer);
+void gossip_send_all_backends(struct core *core, uint64_t peer);
 void gossip_digest(struct core *core);
 void gossip_expire(struct core *core);
 
 /* peers.c: the other daemons */
 void peers_up(struct core *core, const struct event_link_up *up);
 void peers_down(struct core *core, uint64_t id);
-void peers_follow_members(struct core *core);
-void peers_tell_router(struct core *core);
+void peers_update_links(struct core *core);
+void peers_update_router(struct core *core);
 void peers_send(struct core *core, uint64_t peer, enum link_channel channel,
 		struct bytes *body);
 void peers_send_all(struct core *core, enum link_channel channel,
@@ -242,23 +244,26 @@
 void billing_tick(struct core *core);
 void billing_message(struct core *core, uint64_t peer,
 		     const struct bytes *body);
-void billing_answer(struct core *core, const struct event_platform *platform);
+void billing_platform_answer(struct core *core,
+			     const struct event_platform *platform);
 
-/* charge.c: the fleet's plan, orders, stops and cost */
-void charge_new(struct core *core);
-void charge_free(struct core *core);
-void charge_tick(struct core *core);
-void charge_notice(struct core *core, const char *zone, int64_t in_us);
-void charge_demand(struct core *core, uint64_t member, const char *data,
-		   size_t len);
-void charge_answer(struct core *core, const struct event_platform *platform);
-void charge_stop(struct core *core, const char *address);
-bool charge_unstop(struct core *core, const char *address);
-json_t *charge_describe_spend(const struct core *core);
-json_t *charge_describe_drains(const struct core *core);
+/* autoscaler.c: the fleet's plan, orders, stops and cost */
+void autoscaler_new(struct core *core);
+void autoscaler_free(struct core *core);
+void autoscaler_tick(struct core *core);
+void autoscaler_reclaim_notice(struct core *core, const char *zone,
+			       int64_t in_us);
+void autoscaler_receive_demand(struct core *core, uint64_t member,
+			       const char *data, size_t len);
+void autoscaler_platform_answer(struct core *core,
+				const struct event_platform *platform);
+void autoscaler_stop_backend(struct core *core, const char *address);
+bool autoscaler_cancel_stop(struct core *core, const char *address);
+json_t *autoscaler_describe_spend(const struct core *core);
+json_t *autoscaler_describe_drains(const struct core *core);
 
-/* charge_settings.c: what the settings say of the fleet */
-void charge_read_settings(struct core *core);
+/* autoscaler_settings.c: what the settings say of the fleet */
+void autoscaler_read_settings(struct core *core);
 
 /** This daemon as a member. */
 void core_fill_member(const struct core *core, struct member *member);
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -22,7 +22,7 @@
 struct request_plan {
 	const struct key *key;
 	const char *class_name;
-	const char *repeat_key; /* NULL: not claimed */
+	const char *dedup_key; /* NULL: not claimed */
 	bool idempotent;
 	enum result code;
 	const char *message;
@@ -46,7 +46,7 @@
 void caller_request_free(struct core *core, struct caller_request *request)
 {
 	map_remove(&core->requests, &request->node);
-	list_remove(&request->pending);
+	list_remove(&request->claim_waiters_node);
 	event_free(request->event);
 	free(request->key_id);
 	free(request->organisation);
@@ -74,8 +74,8 @@
 	caller_request_free(core, request);
 }
 
-static void request_plan_refuse(struct request_plan *plan, enum result code,
-				const char *message)
+static void request_plan_set_refusal(struct request_plan *plan,
+				     enum result code, const char *message)
 {
 	plan->code = code;
 	plan->message = message;
@@ -93,23 +93,23 @@
 	route = service ? rules_route(service, asked->method, asked->path)
 			: NULL;
 	if (!route) {
-		request_plan_refuse(plan, RESULT_NO_ROUTE, asked->service);
+		request_plan_set_refusal(plan, RESULT_NO_ROUTE, asked->service);
 		return;
 	}
 	if (!plan->class_name && route->class_name[0])
 		plan->class_name = route->class_name;
 	plan->idempotent = route->idempotency == IDEMPOTENCY_SAFE;
 	if (route->idempotency == IDEMPOTENCY_REQUIRED) {
-		plan->repeat_key = asked->idempotency_key;
-		if (!plan->repeat_key)
-			request_plan_refuse(
+		plan->dedup_key = asked->idempotency_key;
+		if (!plan->dedup_key)
+			request_plan_set_refusal(
 				plan, RESULT_NEEDS_IDEMPOTENCY_KEY,
 				"send a header Idempotency-Key that is new for "
 				"each call and the same for a resend");
 	} else if (route->idempotency == IDEMPOTENCY_BODY) {
-		plan->repeat_key = asked->idempotency_key
-					   ? asked->idempotency_key
-					   : asked->body_hash;
+		plan->dedup_key = asked->idempotency_key
+					  ? asked->idempotency_key
+					  : asked->body_hash;
 	}
 }
 
@@ -124,7 +124,7 @@
 	rule = rules_class(agreed_settings(core->agreed), plan->class_name);
 	plan->idempotent = rule && rule->idempotent;
 	if (!plan->idempotent)
-		plan->repeat_key = asked->idempotency_key;
+		plan->dedup_key = asked->idempotency_key;
 }
 
 static void request_plan_permit(struct core *core,
@@ -134,15 +134,16 @@
 	enum result code;
 
 	if (!plan->class_name) {
-		request_plan_refuse(plan, RESULT_CLASS_FORBIDDEN,
-				    "the key has no default class; name one "
-				    "in X-Filberthall-Class");
+		request_plan_set_refusal(
+			plan, RESULT_CLASS_FORBIDDEN,
+			"the key has no default class; name one "
+			"in X-Filberthall-Class");
 		return;
 	}
 	code = key_permits(plan->key, agreed_settings(core->agreed),
 			   plan->class_name, asked->model, asked->service);
 	if (code)
-		request_plan_refuse(plan, code, NULL);
+		request_plan_set_refusal(plan, code, NULL);
 }
 
 static struct request_plan request_plan(struct core *core,
@@ -151,13 +152,14 @@
 	struct request_plan plan = { 0 };
 
 	if (!asked->key_hash) {
-		request_plan_refuse(&plan, RESULT_NO_KEY,
-				    "send a header Authorization: Bearer KEY");
+		request_plan_set_refusal(
+			&plan, RESULT_NO_KEY,
+			"send a header Authorization: Bearer KEY");
 		return plan;
 	}
 	plan.key = keys_find(agreed_keys(core->agreed), asked->key_hash);
 	if (!plan.key || !plan.key->caller) {
-		request_plan_refuse(&plan, RESULT_KEY_UNKNOWN, NULL);
+		request_plan_set_refusal(&plan, RESULT_KEY_UNKNOWN, NULL);
 		return plan;
 	}
 	/* The caller's word first, then the route's, then the key's. */
@@ -180,7 +182,7 @@
 		keys_find_id(agreed_keys(core->agreed), request->key_id);
 	struct router_request routed = { 0 };
 
-	list_remove(&request->pending);
+	list_remove(&request->claim_waiters_node);
 	request->state = REQUEST_ROUTED;
 	routed.id = asked->id;
 	routed.organisation = request->organisation;
@@ -210,7 +212,7 @@
 	struct entry_head head = consensus_head(core);
 	struct bytes entry = { 0 };
 
-	head.incarnation = core->owner;
+	head.incarnation = core->claim_owner;
 	entry_claims(&entry, &head, op, 1);
 	propose_entry(core, head.ticket, &entry, give_up_us);
 }
@@ -221,8 +223,8 @@
 	struct claim_op op = { 0 };
 
 	request->state = REQUEST_CLAIMING;
-	list_remove(&request->pending);
-	list_append(&core->pending, &request->pending);
+	list_remove(&request->claim_waiters_node);
+	list_append(&core->claim_waiters, &request->claim_waiters_node);
 	op.verb = CLAIM_VERB_OPEN;
 	op.ticket = asked->id;
 	memcpy(op.id, request->claim_id, sizeof(op.id));
@@ -243,8 +245,9 @@
 }
 
 /* What an arrival meets whose claim is held by another, or by its past. */
-static void request_meet(struct core *core, struct caller_request *request,
-			 enum result code)
+static void request_handle_claim_state(struct core *core,
+				       struct caller_request *request,
+				       enum result code)
 {
 	const struct claim *claim;
 
@@ -252,13 +255,13 @@
 	case RESULT_CLAIM_DONE:
 		claim = claims_find(agreed_claims(core->agreed),
 				    request->claim_id);
-		answer_kept(core, request, claim);
+		answer_from_claim(core, request, claim);
 		caller_request_free(core, request);
 		break;
 	case RESULT_CLAIM_RUNNING:
 		request->state = REQUEST_AWAITS_CLAIM;
-		list_remove(&request->pending);
-		list_append(&core->pending, &request->pending);
+		list_remove(&request->claim_waiters_node);
+		list_append(&core->claim_waiters, &request->claim_waiters_node);
 		break;
 	case RESULT_CLAIM_UNKNOWN:
 	case RESULT_CLAIM_ANSWER_GONE:
@@ -285,7 +288,7 @@
 	code = claims_probe(agreed_claims(core->agreed), request->claim_id,
 			    request->event->u.request.body_hash);
 	if (code)
-		request_meet(core, request, code);
+		request_handle_claim_state(core, request, code);
 	else
 		request_claim(core, request);
 }
@@ -313,13 +316,13 @@
 
 	request->event = event;
 	request->arrived_us = core->now_us;
-	list_init(&request->pending);
+	list_init(&request->claim_waiters_node);
 	map_insert(&core->requests, &request->node,
 		   map_hash(&asked->id, sizeof(asked->id)));
-	if (core->stop_by_us || !consensus_is_fresh(core)) {
+	if (core->stop_deadline_us || !consensus_is_fresh(core)) {
 		request_refuse(core, request,
-			       core->stop_by_us ? RESULT_STOPPING
-						: RESULT_STALE,
+			       core->stop_deadline_us ? RESULT_STOPPING
+						      : RESULT_STALE,
 			       REQUEST_RETRY_SOON_MS, NULL);
 		return;
 	}
@@ -335,12 +338,12 @@
 	request->class_name = xstrdup(plan.class_name);
 	request->idempotent = plan.idempotent;
 	request->deadline_us = request_deadline(core, asked, plan.class_name);
-	if (!plan.repeat_key) {
+	if (!plan.dedup_key) {
 		request_route(core, request);
 		return;
 	}
 	claim_id(request->claim_id, request->organisation,
-		 asked->service ? asked->service : "", plan.repeat_key);
+		 asked->service ? asked->service : "", plan.dedup_key);
 	request_probe(core, request);
 }
 
@@ -365,7 +368,7 @@
 		return;
 	}
 	if (outcome->code) {
-		request_meet(core, request, outcome->code);
+		request_handle_claim_state(core, request, outcome->code);
 		return;
 	}
 	answer_span(core, request, "claim", request->arrived_us, RESULT_OK,
@@ -380,7 +383,8 @@
 	struct caller_request *request;
 	struct caller_request *next;
 
-	list_foreach_safe(request, next, &core->pending, pending)
+	list_foreach_safe(request, next, &core->claim_waiters,
+			  claim_waiters_node)
 		if (request->state == REQUEST_AWAITS_CLAIM &&
 		    (!claim_id || !strcmp(request->claim_id, claim_id)))
 			request_probe(core, request);
@@ -391,7 +395,8 @@
 	struct caller_request *request;
 	struct caller_request *next;
 
-	list_foreach_safe(request, next, &core->pending, pending)
+	list_foreach_safe(request, next, &core->claim_waiters,
+			  claim_waiters_node)
 		if (!strcmp(request->key_id, key_id))
 			request_refuse(core, request, RESULT_KEY_WITHDRAWN, 0,
 				       NULL);
@@ -428,7 +433,8 @@
 	struct caller_request *request;
 	struct caller_request *next;
 
-	list_foreach_safe(request, next, &core->pending, pending) {
+	list_foreach_safe(request, next, &core->claim_waiters,
+			  claim_waiters_node) {
 		if (request->deadline_us > core->now_us)
 			continue;
 		if (request->state == REQUEST_AWAITS_CLAIM)
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -46,7 +46,8 @@
 
 static json_t *status_worst(const struct core *core)
 {
-	const struct metrics_organisation *worst = metrics_worst(core->metrics);
+	const struct metrics_organisation *worst =
+		metrics_worst_organisation(core->metrics);
 
 	if (!worst)
 		return json_null();
@@ -255,7 +256,7 @@
 static void status_write_spend(struct core *core, struct bytes *out)
 {
 	const struct windows *windows = agreed_windows(core->agreed);
-	json_t *spend = charge_describe_spend(core);
+	json_t *spend = autoscaler_describe_spend(core);
 	int64_t unsettled = windows_unsettled(windows);
 	json_t *team;
 	size_t i;
