--- a/libfilberthall/feed/feed.h
+++ b/libfilberthall/feed/feed.h
@@ -72,7 +72,7 @@
 	int64_t age_us; /**< since it was heard */
 };
 
-/** Servers heard lately, each by registration_mark(). */
+/** Servers heard lately, each by registration_short_id(). */
 struct feed_marks {
 	int64_t age_us;	   /**< since the one was heard that was heard first */
 	const char *bytes; /**< inside the message that was read */
--- a/libfilberthall/fleet/backend.c
+++ b/libfilberthall/fleet/backend.c
@@ -11,7 +11,7 @@
 	char address[BACKEND_NAME_SIZE];
 	char boot_id[BACKEND_NAME_SIZE];
 	int64_t sequence;
-	bool replaced; /* a newer boot took the address */
+	bool replaced; /* a newer boot has the address */
 	int64_t until_us;
 };
 
@@ -118,8 +118,8 @@
 }
 
 /*
- * A copy that took a slower way may come after the server has departed or
- * was started anew. Its boot id or sequence gives it away.
+ * An announcement can arrive by several paths, and a delayed copy after the
+ * server has stopped or restarted. Its boot id or sequence number shows that.
  */
 static bool announce_is_stale(const struct fleet *fleet,
 			      const struct backend *known,
@@ -136,7 +136,7 @@
 	return announce->sequence <= known->sequence;
 }
 
-/** Another service has the address, or it serves another model. */
+/* Whether the address now serves another service or model. */
 static bool backend_changes_work(const struct backend *backend,
 				 const struct event_announce *announce)
 {
@@ -334,7 +334,7 @@
 	       adapters_have(backend->adapters, adapter);
 }
 
-/* Move the ring on, zeroing the steps that time has skipped. */
+/* Advance the ring to `now_us`, clearing the steps in between. */
 static int own_slot(struct backend_own *own, int64_t now_us)
 {
 	int64_t step = now_us / BACKEND_RING_STEP_US;
@@ -394,7 +394,7 @@
 	int64_t prompts;
 };
 
-/* Own starts and ends since the report was true. */
+/* Local starts and ends since `since_us`. */
 static struct own_since own_sum_since(const struct backend_own *own,
 				      int64_t since_us)
 {
@@ -421,7 +421,7 @@
 
 	sum = own_sum_since(&backend->own, backend->report_us);
 	load = backend->running + backend->queued + sum.started - sum.ended;
-	/* A report can't know less than what this VM has running there. */
+	/* At least the attempts that this VM has running there. */
 	if (load < backend->own.running)
 		load = backend->own.running;
 	return (double)load;
@@ -432,7 +432,7 @@
 	double age_s = (double)(now_us - backend->report_us) / 1e6;
 	double left = (double)backend->queued_prompt_tokens;
 
-	/* What was queued at the report has been worked off meanwhile. */
+	/* The server has processed part of its queue since the report. */
 	left -= age_s * backend->prefill_rate;
 	if (left < 0)
 		left = 0;
--- a/libfilberthall/fleet/backend.h
+++ b/libfilberthall/fleet/backend.h
@@ -11,21 +11,23 @@
 #include "fleet/health.h"
 
 /**
- * Registry of backend servers. There is no list of them: each announces
- * itself about once a second to some VM, which passes it on to the others.
+ * Table of the backend servers that are known. They aren't configured: each
+ * server announces itself about once a second to some VM, which forwards the
+ * announcement to the others.
  *
- * Failures that it answers: announcements overtake each other on the way. An
- * old one that arrives after the server has left or was started anew would
- * bring back a server that is gone, and requests would be sent to nobody. So
- * a departed server leaves a tombstone: its boot id and last sequence, or,
- * if a newer boot took its address, its boot id for good.
+ * Failure handled: announcements arrive out of order. An old one that arrives
+ * after the server has stopped or restarted would add a server that no longer
+ * exists, and requests would be sent to it. So a tombstone is kept for each
+ * removed server: its boot id and last sequence number. If a newer boot took
+ * over its address, every announcement of the old boot id is ignored.
  *
- * Load reports lag by seconds. Without counting own work on top of the last
- * report, a VM sends a whole burst to the one server that looked idle.
+ * Load reports lag by seconds. If a VM didn't add the attempts that it started
+ * since the last report, it would send a whole burst to one server that looked
+ * idle.
  *
- * A tombstone outlives any announcement still on its way, also one held up by
- * a partition. The ring of own starts and ends reaches 16 s back: an older
- * report says nothing any more, and the lease runs out before that.
+ * A tombstone is kept for longer than an announcement can be delayed, also by
+ * a network partition. The ring of local starts and ends covers 16 s: older
+ * reports are of no use, and the announcement's lease expires before that.
  */
 
 #define BACKEND_NAME_SIZE 64
@@ -36,16 +38,16 @@
 #define BACKEND_TOMBSTONES 4096
 #define BACKEND_LEASE_DEFAULT_MS 5000
 
-/** Requests at once where a server doesn't say: a small plain service. */
+/** Concurrent requests of a server that announces no slots: a small service. */
 #define BACKEND_SLOTS_DEFAULT 64
 
-/** Own work on a server, counted by this VM. */
+/** Load that this VM has put on a server. */
 struct backend_own {
 	int64_t running;       /**< attempts started and not ended */
-	int64_t long_running;  /**< of them, those with long outputs */
-	int64_t prompt_tokens; /**< of attempts without a first token */
-	double work;	       /**< estimated tokens still to come */
-	int64_t ring_at;       /**< step number of the newest slot */
+	int64_t long_running;  /**< those of them with long outputs */
+	int64_t prompt_tokens; /**< of attempts in prefill */
+	double work;	       /**< estimated tokens to be generated */
+	int64_t ring_at;       /**< step number of the newest element */
 	int32_t started[BACKEND_RING];
 	int32_t ended[BACKEND_RING];
 	int64_t prompts[BACKEND_RING];
@@ -63,10 +65,10 @@
 	char adapters[BACKEND_ADAPTERS_SIZE];
 	bool cheap;
 	bool leaving;
-	bool drained; /**< by an operator's or the system's order */
+	bool drained; /**< set by an operator or by this software */
 	bool fences;
-	bool for_paced;	      /**< kept for paced streams (load/divide.h) */
-	bool forward_pending; /**< figures heard directly, not yet passed on */
+	bool for_paced;	      /**< reserved for paced streams (load/divide.h) */
+	bool forward_pending; /**< announced to this VM, load not yet forwarded */
 	int64_t sequence;
 	int64_t lease_end_us;
 	int64_t slots;
@@ -77,7 +79,7 @@
 	int64_t kv_used;
 	double prefill_rate;
 	double decode_rate;
-	int64_t report_us; /**< when the load figures were true */
+	int64_t report_us; /**< when the load figures were measured */
 	struct backend_own own;
 	struct health health;
 };
@@ -85,28 +87,29 @@
 struct fleet {
 	struct map backends;
 	struct map tombstones;
-	uint64_t version;  /**< grows when who may get work changes */
-	uint64_t removals; /**< grows when one is freed or changes its work */
+	uint64_t version; /**< incremented when the usable servers change */
+	uint64_t
+		removals; /**< incremented when one is freed or changes service */
 };
 
-/** What an announcement did. */
+/** Result of handling an announcement. */
 enum announce_outcome {
-	ANNOUNCE_STALE,	  /**< ignored */
-	ANNOUNCE_UPDATED, /**< new figures of a known server */
-	ANNOUNCE_JOINED,  /**< a new server or a new boot of one */
-	ANNOUNCE_LEFT	  /**< it now leaves: no new work */
+	ANNOUNCE_STALE,	  /**< out of date, ignored */
+	ANNOUNCE_UPDATED, /**< new load figures of a known server */
+	ANNOUNCE_JOINED,  /**< a new server, or a known one that restarted */
+	ANNOUNCE_LEFT	  /**< the server is about to stop: no new requests */
 };
 
 void fleet_init(struct fleet *fleet);
 void fleet_clear(struct fleet *fleet);
 
-/** Take an announcement in, heard directly or from another daemon. */
+/** Apply an announcement, received from the server or from another daemon. */
 enum announce_outcome fleet_announce(struct fleet *fleet,
 				     const struct event_announce *announce,
 				     int64_t now_us);
 
 /**
- * Remove servers whose lease has run out and tombstones past their time.
+ * Remove servers whose lease has expired, and expired tombstones.
  * Calls `gone` with each server before it is freed (NULL is allowed).
  * Returns the number of servers removed.
  */
@@ -117,58 +120,58 @@
 /** The server at that address, or NULL. */
 struct backend *fleet_find(const struct fleet *fleet, const char *address);
 
-/** No new work for a server (or again some); false if it is unknown. */
+/** Stop or resume sending new requests to a server; false if it is unknown. */
 bool fleet_drain(struct fleet *fleet, const char *address, bool drained);
 
 /**
- * A start that won't work again: no new work, and out of the fleet when
- * fleet_expire() is called after `until_us`, unless it is announced anew. Until
- * then its counts stay for the attempts that still end there.
+ * A server process that won't serve again: it gets no new requests and is
+ * removed by the first fleet_expire() after `until_us`, unless it is announced
+ * again. Until then its counts are kept for the attempts that still run there.
  */
 void fleet_retire(struct fleet *fleet, const char *address, int64_t until_us);
 
-/** Whether the server may get new work: alive, not leaving, not drained. */
+/** Whether the server may get new requests: alive, not leaving, not drained. */
 bool backend_usable(const struct backend *backend, int64_t now_us);
 
-/** Whether it serves this model, adapter (or NULL) or service. */
+/** Whether the server serves this model and adapter (or NULL), or service. */
 bool backend_serves(const struct backend *backend, const char *model,
 		    const char *adapter, const char *service);
 
 /**
- * Let load figures fade that come only with answers: halve those older than
- * `step_us`; to be called once in each such step.
+ * Halve load figures older than `step_us`. For servers that report their load
+ * only in responses; to be called once every `step_us`.
  *
- * Failure answered: a server said that it is full, so nothing is sent there,
- * so it says nothing more. Without fading it stays full for ever: a plain
- * service of four servers got no request from a VM any more, while its
- * callers waited out their deadlines.
+ * Failure handled: a server reports that it is full, so no request is sent to
+ * it, so no further report comes. Without the decay it would count as full for
+ * ever: a VM sent no more requests to any of a service's four servers, and
+ * the callers waited until their deadlines.
  */
 void fleet_decay_load(struct fleet *fleet, int64_t step_us, int64_t now_us);
 
-/** Count an attempt that was started. */
+/** Count an attempt that was started on the server. */
 void backend_started(struct backend *backend, int64_t prompt_tokens,
 		     double work, bool is_long, int64_t now_us);
 
-/** Its first token came: the prefill is done. */
+/** Count the end of an attempt's prefill, when its first token arrives. */
 void backend_prefilled(struct backend *backend, int64_t prompt_tokens);
 
-/** Count an attempt that has ended. `prompt_tokens` is 0 after prefill. */
+/** Count the end of an attempt. `prompt_tokens` is 0 after prefill. */
 void backend_ended(struct backend *backend, int64_t prompt_tokens, double work,
 		   bool is_long, int64_t now_us);
 
-/** Estimated requests on the server now: last report and own since. */
+/** Estimated requests on the server: the last report and local changes since. */
 double backend_load(const struct backend *backend);
 
-/** Estimated prompt tokens that wait for prefill there now. */
+/** Estimated prompt tokens that wait for prefill on the server. */
 double backend_queued_prompt(const struct backend *backend, int64_t now_us);
 
-/** Mark stragglers among the servers of each model. */
+/** Mark the servers that are much slower than others of the same model. */
 void fleet_compare(struct fleet *fleet);
 
 /**
- * Write one server's announcement for LINK_FLEET: msgpack, an array of the
- * fields of `struct event_announce` in their order, with the lease that is
- * left and the present age of the figures.
+ * Write one server's announcement for LINK_FLEET: a msgpack array of the
+ * fields of `struct event_announce` in their order, with the remaining lease
+ * and the current age of the load figures.
  */
 void backend_pack(const struct backend *backend, int64_t now_us,
 		  struct bytes *to);
--- a/libfilberthall/fleet/backend_pack.c
+++ b/libfilberthall/fleet/backend_pack.c
@@ -51,7 +51,7 @@
 	return *name ? (char *)name : NULL;
 }
 
-/* The announcement that would say what is known now; borrows its text. */
+/* Fill in an announcement of the known state; its strings are borrowed. */
 static void announce_of(const struct backend *backend, int64_t now_us,
 			struct event_announce *announce)
 {
--- a/libfilberthall/fleet/backend_peers.c
+++ b/libfilberthall/fleet/backend_peers.c
@@ -4,7 +4,7 @@
 #include "base/alloc.h"
 #include "fleet/backend.h"
 
-/* Fewer servers than these have no median worth the name. */
+/* The median of fewer servers isn't meaningful. */
 #define PEERS_LEAST 3
 
 static int compare_double(const void *a, const void *b)
@@ -24,7 +24,7 @@
 	return order ? order : strcmp(x->model, y->model);
 }
 
-/* Compare `n` servers of one kind with the median pace among them. */
+/* Compare servers of one model or service with their median token time. */
 static void compare_peers(struct backend *const *peers, size_t n,
 			  double *speeds)
 {
--- a/libfilberthall/fleet/digest.c
+++ b/libfilberthall/fleet/digest.c
@@ -5,7 +5,7 @@
 
 #include "core/pack.h"
 
-/* One server's row, in the order in which it is packed. */
+/* Items of one server's row, in the order in which they are packed. */
 enum digest_item {
 	DIGEST_ADDRESS,
 	DIGEST_BOOT,
@@ -97,7 +97,7 @@
 	return true;
 }
 
-/* The hash is the key here: 64 bits over some thousand addresses. */
+/* Matches by hash alone: 64 bits suffice for some thousand addresses. */
 static bool digest_any(const struct map_node *node, const void *key)
 {
 	(void)node;
@@ -113,7 +113,7 @@
 	return node ? container_of(node, struct backend, node) : NULL;
 }
 
-/* False if the server or its boot isn't known. */
+/* Returns false if the server or its boot isn't known. */
 static bool digest_take_row(struct fleet *fleet, const int64_t *row,
 			    int64_t now_us)
 {
--- a/libfilberthall/fleet/drain.c
+++ b/libfilberthall/fleet/drain.c
@@ -13,7 +13,7 @@
 	enum drain_state state;
 	int64_t began_us;
 	int64_t deadline_us;
-	int64_t asked_us; /**< when the stop was asked for last */
+	int64_t asked_us; /**< when the stop was last requested */
 	char reason[192]; /**< why it is held */
 };
 
@@ -95,7 +95,7 @@
 	return true;
 }
 
-/* Slots of the servers that would remain, and the work there is for them. */
+/* Slots of the remaining servers, and the requests to be served by them. */
 struct drain_capacity {
 	int64_t servers;
 	int64_t slots;
@@ -127,7 +127,7 @@
 	return capacity;
 }
 
-/* Whether the others can take the work over; if not, says why. */
+/* Whether the other servers have capacity; sets drain->reason if not. */
 static bool drain_may_begin(struct drain *drain, const struct fleet *fleet,
 			    const struct backend *backend, int64_t now_us)
 {
@@ -148,7 +148,7 @@
 	return !*drain->reason;
 }
 
-/* Only a report made after all daemons had stopped sending can tell. */
+/* Only a report made after all daemons had stopped sending is conclusive. */
 static bool drain_is_empty(const struct drain *drain,
 			   const struct backend *backend)
 {
--- a/libfilberthall/fleet/drain.h
+++ b/libfilberthall/fleet/drain.h
@@ -8,42 +8,44 @@
 #include "fleet/backend.h"
 
 /**
- * Planned stops: drain first, streams end whole, then the order.
+ * Planned stops of backend servers: a server is drained, and stopped once
+ * its running requests have ended.
  *
- * Failures answered:
- * - A stop cuts streams: nothing is ordered before a load report that is
- *   newer than the drain, by DRAIN_SPREAD_US (the time by which every daemon
- *   has stopped sending there, also one that was cut off for a moment), says
- *   that nothing runs or waits on the server.
- * - A stop leaves a class without capacity: it is held while the servers that
- *   remain for the model or service have fewer slots than its work takes, and
- *   says so (drains_describe()). A held stop drains nothing.
- * - A stream never ends: at the deadline the setting decides, to wait on
- *   ("wait", said as overdue) or to order the stop anyway ("cut").
+ * Failures handled:
+ * - A stop would interrupt streams: it is ordered only after a load report
+ *   shows that nothing runs or waits on the server. The report must be newer
+ *   than the start of the drain by DRAIN_SPREAD_US, by when every daemon
+ *   has stopped sending requests there, also one that was cut off briefly.
+ * - A stop would leave a class without capacity: it is held while the other
+ *   servers of the model or service have fewer slots than its requests need,
+ *   and drains_describe() gives the reason. A held stop doesn't drain.
+ * - A stream never ends: at the deadline the setting decides whether to keep
+ *   waiting ("wait", reported as overdue) or to stop the server anyway ("cut").
  */
 #define DRAIN_SPREAD_US INT64_C(3000000)
 
 /**
- * A server that still announces itself so long after its stop was asked for
- * wasn't stopped: no order could be given then, or it was lost.
+ * A server that still announces itself this long after its stop was requested
+ * wasn't stopped: the order couldn't be placed, or it was lost. The stop is
+ * requested again.
  */
 #define DRAIN_ASK_US INT64_C(30000000)
 
 enum drain_state {
 	DRAIN_HELD,	/**< would leave too little capacity */
-	DRAIN_DRAINING, /**< no new work; streams go on */
-	DRAIN_STOPPING	/**< the stop was asked for */
+	DRAIN_DRAINING, /**< gets no new requests; running ones continue */
+	DRAIN_STOPPING	/**< the stop was requested */
 };
 
 struct drain_policy {
-	int64_t drain_us; /**< deadline from the drain's begin */
-	bool cut;	  /**< at the deadline: stop, else wait */
+	int64_t drain_us; /**< from the start of the drain to its deadline */
+	bool cut;	  /**< at the deadline: true stops, false waits */
 };
 
 struct drain_hooks {
-	/** Tell all daemons: no new work for it (or again some). */
+	/** Stop or resume new requests to the server, on all daemons. */
 	void (*mark)(void *data, const char *address, bool drained);
-	/** Nothing runs there any more (or the deadline cut it): stop it. */
+	/** Order the stop: the server is idle, or its deadline has passed. */
 	void (*stop)(void *data, const char *address);
 	void *data;
 };
@@ -53,22 +55,22 @@
 struct drains *drains_new(const struct drain_hooks *hooks);
 void drains_free(struct drains *drains);
 
-/** Ask for a stop of a server. False if it is unknown. */
+/** Request the stop of a server. Returns false if it is unknown. */
 bool drains_begin(struct drains *drains, const struct fleet *fleet,
 		  const char *address, int64_t now_us);
 
-/** Take a stop back as long as it isn't ordered. */
+/** Cancel a stop; false if there is none or it was already ordered. */
 bool drains_cancel(struct drains *drains, const char *address);
 
-/** Look at all: begin what was held, stop what is empty. */
+/** Start held drains that are now possible, and stop drained servers. */
 void drains_tick(struct drains *drains, const struct fleet *fleet,
 		 const struct drain_policy *policy, int64_t now_us);
 
-/** State of a server's stop; false if none was asked for. */
+/** State of a server's stop; returns false if none was requested. */
 bool drains_state(const struct drains *drains, const char *address,
 		  enum drain_state *state);
 
-/** Array of {"address", "state", "reason", "overdue"}, new. */
+/** New array of {"address", "state", "reason", "overdue"}. */
 json_t *drains_describe(const struct drains *drains, int64_t now_us);
 
 #endif
--- a/libfilberthall/fleet/health.c
+++ b/libfilberthall/fleet/health.c
@@ -1,9 +1,9 @@
 #include "fleet/health.h"
 
-/* Weight of a new answer in the running average, once it has settled. */
+/* Weight of a new answer in the average, after the first 16 answers. */
 #define HEALTH_GAIN (1.0 / 16)
 
-/* Answers before a server is judged at all. */
+/* Answers that are needed before a server can be a straggler. */
 #define HEALTH_MIN_ANSWERS 4
 
 void health_answered(struct health *health, int64_t tokens, int64_t took_us,
--- a/libfilberthall/fleet/health.h
+++ b/libfilberthall/fleet/health.h
@@ -5,74 +5,74 @@
 #include <stdint.h>
 
 /**
- * How well one backend server answers, as this VM sees it.
+ * Speed and failures of one backend server, as measured by this VM.
  *
- * Load pattern: one engine in a pool turns slow (a throttled accelerator, a
- * noisy neighbour), crashes, or goes silent, while its own load report still
- * looks inviting: a straggler drains its queue slowly, so it seems to have
- * room. Without this module the server that does least work draws most
- * requests, and one straggler in twelve hurts a third of them.
+ * Load pattern handled: one engine in a pool becomes slow (a throttled
+ * accelerator, a noisy neighbour), crashes, or stops responding, while its load
+ * report still shows free capacity: a straggler works off its queue slowly, so
+ * it seems to have room. Without this module the slowest server gets most
+ * requests, and one straggler in twelve servers delays a third of them.
  *
- * Speed is an average over the last answers, enough of them that one long
- * output doesn't condemn a server. One below half of the median speed of its
- * peers is a straggler: batches of unlike fill differ by less. The way back
- * doubles from one probe at a time, so that a server which crashes again takes
- * few requests with it.
+ * Speed is a running average over enough answers that one long output doesn't
+ * mark a server as slow. A server below half of the median speed of its peers
+ * is a straggler; servers with differently filled batches differ by less.
+ * After a failure the weight doubles from a small share on, so that few
+ * requests fail if the server crashes again.
  */
 
-/** Least share of its room that a server in trouble is still offered. */
+/** Lowest weight of a server that still gets requests. */
 #define HEALTH_MIN_WEIGHT (1.0 / 32)
 
-/** Below this part of the median speed of its peers a server straggles. */
+/** A server below this fraction of its peers' median speed is a straggler. */
 #define HEALTH_STRAGGLER_RATIO 0.5
 
-/** How long a server gets nothing after a failed attempt, first time. */
+/** How long a server gets no requests after the first failed attempt. */
 #define HEALTH_HOLD_FIRST_US INT64_C(1000000)
 
-/** The longest such hold. */
+/** Upper bound of the backoff, which doubles with each failure. */
 #define HEALTH_HOLD_MOST_US INT64_C(30000000)
 
-/** A busy server that gives nobody a token for so long is silent. */
+/** A busy server that sends no token for this long has stopped responding. */
 #define HEALTH_SILENT_US INT64_C(3000000)
 
-/** Time in which a returning server's share of room doubles. */
+/** Time in which a recovering server's weight doubles. */
 #define HEALTH_RETURN_STEP_US INT64_C(1000000)
 
 struct health {
-	double token_us;       /**< running average between tokens, 0 unknown */
-	int64_t n_answers;     /**< that went into it */
-	int64_t n_failures;    /**< in a row: crash, silence, no connection */
-	int64_t held_until_us; /**< gets nothing until then */
-	int64_t back_since_us; /**< gradual return began, 0 if whole */
-	int64_t hold_us;       /**< of the next failure */
-	int64_t heard_us;      /**< when a token of it last came */
+	double token_us;   /**< average time between tokens, 0 if unknown */
+	int64_t n_answers; /**< answers in that average */
+	int64_t n_failures; /**< consecutive: crash, no response, no connection */
+	int64_t held_until_us; /**< gets no requests before this */
+	int64_t back_since_us; /**< start of the recovery, 0 if not recovering */
+	int64_t hold_us;       /**< current backoff, 0 if none */
+	int64_t heard_us;      /**< when its last token was received */
 	bool straggles;
 };
 
-/** Note the time between tokens of an answer that has ended well. */
+/** Record the time between tokens of a successful answer. */
 void health_answered(struct health *health, int64_t tokens, int64_t took_us,
 		     int64_t now_us);
 
-/** Note an attempt that ended in a crash, silence or no connection. */
+/** Record an attempt that failed: crash, no response or no connection. */
 void health_failed(struct health *health, int64_t now_us);
 
 /**
- * An attempt has no first token long after it should have. The server is at
- * fault if nobody else has had a token of it lately: its connections stay
- * open, and since it works nothing off it would look idle.
+ * Record that an attempt's first token is overdue. This counts as a failure if
+ * no other attempt got a token from the server recently either: a hung server
+ * keeps its connections open, and as it processes nothing it would look idle.
  */
 void health_overdue(struct health *health, int64_t now_us);
 
-/** A new boot of the server: forget the old one's faults. */
+/** The server has restarted: discard what was recorded before. */
 void health_reset(struct health *health, int64_t now_us);
 
 /**
- * Compare with the median of its peers (0 if unknown) and mark it as a
- * straggler or free it.
+ * Set or clear `straggles` by comparison with the median time between
+ * tokens of its peers (0 if unknown).
  */
 void health_compare(struct health *health, double median_token_us);
 
-/** Part of its room that the server may be offered now, 0..1. */
+/** Fraction of its free capacity that may be used now, 0..1. */
 double health_weight(const struct health *health, int64_t now_us);
 
 #endif
--- a/libfilberthall/fleet/order.c
+++ b/libfilberthall/fleet/order.c
@@ -11,27 +11,27 @@
 
 #define ORDER_LIST_ID "order-list"
 
-/* Verb of the order by which a holder marks the book; it is never sent. */
+/* Verb of the fencing entry, which is never sent to the platform. */
 #define ORDER_MARK "charge"
 
-/* A proposal that isn't in the book after this was lost. */
+/* A proposal that isn't in the order book after this is taken as lost. */
 #define ORDER_PROPOSE_US INT64_C(45000000)
 
-/* What this holder did about an order of the book. */
+/* What this daemon has proposed and sent for one order. */
 struct sent_order {
 	struct list node;
 	char *order_id;
-	int64_t placed_us;   /**< when it was proposed here, 0 if it was not */
+	int64_t placed_us;   /**< when this daemon proposed it, 0 if not */
 	int64_t next_us;     /**< not sent again before */
-	int64_t retry_us;    /**< wait after the next loss */
-	char proposed[16];   /**< state that was proposed last */
-	int64_t proposed_us; /**< when */
+	int64_t retry_us;    /**< delay of the next retry */
+	char proposed[16];   /**< last state that was proposed */
+	int64_t proposed_us; /**< when `proposed` was set */
 };
 
 struct orders {
 	struct order_hooks hooks;
 	struct list sent;
-	bool marked; /**< no order of a former holder can come any more */
+	bool marked; /**< orders of earlier holders are rejected */
 	bool ready;
 	int64_t mark_next_us;
 	int64_t list_next_us;
@@ -54,7 +54,7 @@
 	free(sent);
 }
 
-/* What was placed may still come into the book: it isn't forgotten. */
+/* Keeps orders that were proposed here: they may still be committed. */
 void orders_reset(struct orders *orders)
 {
 	struct sent_order *sent;
@@ -118,8 +118,8 @@
 }
 
 /*
- * A call that outlives the lease could reach the platform beside one of the
- * next holder: none is made whose time-out doesn't end before.
+ * A call that is still pending after the lease could reach the platform at the
+ * same time as one of the next holder, so its timeout must end before.
  */
 static bool order_fits_lease(const struct order_situation *situation)
 {
@@ -127,7 +127,7 @@
 	       situation->until_us;
 }
 
-/* Whether a stop for that address is open. */
+/* Search for an open stop of the server at that address. */
 struct order_search {
 	const char *address;
 	bool found;
@@ -158,9 +158,9 @@
 }
 
 /*
- * A plan is made of what the book holds. While an order of an earlier plan is
- * still on its way into it (a slow quorum), the next plan would order the same
- * again; all of them would be committed in the end.
+ * The plan is based on the order book. While an order of an earlier plan isn't
+ * committed yet (a slow quorum), the next plan would order the same server
+ * again, and both orders would be committed.
  */
 static bool orders_are_on_their_way(struct orders *orders,
 				    const struct order_situation *situation)
@@ -181,7 +181,7 @@
 	return found;
 }
 
-/* Ids carry the fencing number, so two holders never make the same one. */
+/* Ids contain the fencing number, so no two lease holders use the same id. */
 enum result orders_place(struct orders *orders,
 			 const struct order_situation *situation,
 			 const struct target_step *step)
@@ -207,7 +207,7 @@
 	return RESULT_OK;
 }
 
-/* Whether a settlement is on its way into the book. */
+/* Whether a settlement is proposed and may still be committed. */
 static bool sent_order_is_settling(const struct sent_order *sent,
 				   int64_t now_us)
 {
@@ -247,7 +247,7 @@
 	bytes_append_text(&call->body, text ? text : "{}");
 }
 
-/* Send a placed order, first or again. */
+/* Send a placed order, or send it again. */
 static void orders_send(struct orders *orders,
 			const struct order_situation *situation,
 			const struct placed_order *placed,
@@ -267,7 +267,7 @@
 		sent->retry_us = ORDER_RETRY_MAX_US;
 }
 
-/* An accepted start is done when its server has announced itself. */
+/* Settle an accepted order: a start is done once its server is announced. */
 static void orders_follow(struct orders *orders,
 			  const struct order_situation *situation,
 			  const struct placed_order *placed)
@@ -313,9 +313,9 @@
 }
 
 /*
- * A former holder's order may still be on its way into the log, and would be
- * committed after this holder's plan had replaced it. So each holder first
- * marks the book with its own fence; the book takes no older one after that.
+ * An order that an earlier lease holder proposed may be committed only after
+ * this holder has planned without it. So each holder first commits an entry
+ * with its own fencing number; the order book then rejects lower ones.
  */
 static void orders_mark(struct orders *orders,
 			const struct order_situation *situation)
@@ -358,7 +358,7 @@
 			       ORDER_RETRY_US;
 }
 
-/* What a row of the platform's list says of an order that is open here. */
+/* State of an open order according to its row in the platform's list. */
 static const char *order_state_of_row(const struct placed_order *placed,
 				      const char *state)
 {
@@ -369,7 +369,7 @@
 	return start && !strcmp(state, "stopped") ? "failed" : "accepted";
 }
 
-/* Settle by the platform's list what the predecessor left open. */
+/* Settle orders of the previous lease holder by the platform's list. */
 static void orders_read_back(struct orders *orders,
 			     const struct order_situation *situation,
 			     const json_t *list)
--- a/libfilberthall/fleet/order.h
+++ b/libfilberthall/fleet/order.h
@@ -12,42 +12,42 @@
 #include "fleet/target.h"
 
 /**
- * Orders to the platform: start and stop of backend servers, each of which
- * costs money.
+ * Orders to the platform: start and stop backend servers. Each start costs
+ * money.
  *
- * Failures answered:
- * - The one in charge is replaced after it sent an order: an order is placed
- *   in the log before it is sent, under an id that its successor sends again.
- *   The same id does nothing twice, at a platform that is asked twice.
- * - A successor orders anew what its predecessor had ordered: it first marks
- *   the book with its fencing number, so that no order of a former holder is
- *   taken any more, then reads back the platform's list, and settles by it
- *   what it finds open.
- * - Two daemons believe that they are in charge, and the platform ignores
- *   fencing numbers: a call is made only if its time-out ends within the
- *   lease (agree/lease.h), and the next holder waits the lease out.
- * - An answer is lost: the order goes out again, unchanged, after
+ * Failures handled:
+ * - The lease holder is replaced after it has sent an order: each order is
+ *   committed to the log before it is sent, and the new holder sends it again
+ *   under the same id. The platform carries out an id only once.
+ * - A new lease holder would repeat orders of the previous one: it first
+ *   commits an entry with its own fencing number, after which the order book
+ *   rejects orders of earlier holders. Then it fetches the platform's list of
+ *   orders and settles the open ones by it.
+ * - Two daemons believe that they hold the lease, and the platform ignores
+ *   fencing numbers: a call is made only if its timeout ends within the lease
+ *   (agree/lease.h), and the next holder waits until that lease has expired.
+ * - An answer is lost: the order is sent again, unchanged, after
  *   ORDER_RETRY_US, doubling up to ORDER_RETRY_MAX_US.
- * - A start is accepted and no server ever announces itself: after
+ * - A start is accepted, but the server never announces itself: after
  *   ORDER_START_LIMIT_US the order is settled as failed, so that the plan no
- *   longer counts on it.
+ *   longer counts the server.
  */
 #define ORDER_TIMEOUT_MS 1000
 #define ORDER_RETRY_US INT64_C(2000000)
 #define ORDER_RETRY_MAX_US INT64_C(60000000)
 #define ORDER_START_LIMIT_US INT64_C(900000000)
 
-/** What the module wants in the log; the caller proposes the entries. */
+/** Log entries to propose, by the caller. */
 struct order_hooks {
-	/** entry_order(): place an order, an object with "order_id". */
+	/** Propose entry_order() with an order, an object with "order_id". */
 	void (*place)(void *data, const json_t *order);
-	/** entry_order_settled(). */
+	/** Propose entry_order_settled(). */
 	void (*settle)(void *data, const char *order_id, const char *state,
 		       const char *address);
 	void *data;
 };
 
-/** The holder's situation, at each call. */
+/** The lease holder's state, passed to each call. */
 struct order_situation {
 	const struct order_book *book;
 	const struct fleet *fleet;
@@ -62,34 +62,34 @@
 struct orders *orders_new(const struct order_hooks *hooks);
 void orders_free(struct orders *orders);
 
-/** Charge was taken or lost: forget what was sent, read back anew. */
+/** The lease was acquired or lost: fence and reconcile again. */
 void orders_reset(struct orders *orders);
 
 /**
- * Whether the book was marked and the platform's list read back since charge
- * was taken.
+ * Whether the fencing entry was committed and the platform's list received
+ * since the lease was acquired.
  */
 bool orders_ready(const struct orders *orders);
 
 /**
- * Place an order for a step of the plan. Only when orders_ready(). A stop is
- * not placed if one for that address is open.
+ * Place an order for a step of the plan. A stop is skipped if one for that
+ * address is open already.
  *
- * Returns RESULT_OK; RESULT_LEASE_LOST (not ready, or no lease); or
- * RESULT_CONFLICT while orders of an earlier call are on their way into the
- * log.
+ * Returns RESULT_OK; RESULT_LEASE_LOST if not orders_ready() or if the lease
+ * ends too soon; or RESULT_CONFLICT while orders of an earlier call are
+ * proposed but not committed.
  */
 enum result orders_place(struct orders *orders,
 			 const struct order_situation *situation,
 			 const struct target_step *step);
 
-/** Ask for the list, send what is placed, settle what is done. */
+/** Request the platform's list, send placed orders, settle completed ones. */
 void orders_tick(struct orders *orders, const struct order_situation *situation,
 		 struct effects *effects);
 
 /**
- * The platform's answer. Tells `target` of what couldn't be had (NULL is
- * allowed).
+ * Handle the platform's answer. Calls target_unavailable() on `target` (NULL is
+ * allowed) if the platform has no such server.
  */
 void orders_answer(struct orders *orders,
 		   const struct order_situation *situation,
--- a/libfilberthall/fleet/reclaim.c
+++ b/libfilberthall/fleet/reclaim.c
@@ -7,7 +7,7 @@
 #include "base/alloc.h"
 #include "base/list.h"
 
-/* A server that is being given up. */
+/* A server that is being reclaimed. */
 struct reclaimed {
 	struct list node;
 	char address[BACKEND_NAME_SIZE];
@@ -122,7 +122,7 @@
 	reclaim_mark(reclaims, reclaim, fleet);
 }
 
-/* The server with least on it that wasn't given up yet, or NULL. */
+/* The server with the fewest requests of those not yet moved, or NULL. */
 static struct reclaimed *reclaim_next(const struct reclaim *reclaim,
 				      const struct fleet *fleet)
 {
@@ -155,7 +155,7 @@
 	reclaims->hooks.move(reclaims->hooks.data, server->address);
 }
 
-/* With n servers left, so many parts of the moving time must be left too. */
+/* Spread the moves of the servers evenly over RECLAIM_MOVE_US. */
 static void reclaim_move_due(struct reclaims *reclaims, struct reclaim *reclaim,
 			     const struct fleet *fleet, int64_t now_us)
 {
--- a/libfilberthall/fleet/reclaim.h
+++ b/libfilberthall/fleet/reclaim.h
@@ -8,26 +8,27 @@
 #include "fleet/backend.h"
 
 /**
- * A zone's cheap backend servers are reclaimed on a few seconds' notice.
+ * The platform reclaims all cheap backend servers of a zone on a few seconds'
+ * notice.
  *
- * Load pattern: without this module requests are sent there until the last
- * moment, and all streams break at once, so that their retries fall upon the
- * rest of the fleet in one burst, the lowest tiers' with the highest's.
+ * Load pattern handled: without this module requests are sent there until the
+ * end, and then all streams break at once, so that the other servers get the
+ * retries of all tiers in one burst.
  *
- * From the notice on nothing new goes to the zone's cheap servers. Streams go
- * on as long as they may end by themselves; RECLAIM_MOVE_US before the end
- * servers are given up one after another, so that the work that moves doesn't
- * arrive in one burst. The emptiest first: it moves least, and the fullest
- * get longest to end by themselves. A server that appears in the zone during
- * the notice is given up too, and the zone's offer of cheap servers is closed
+ * From the notice on no new requests are sent to the zone's cheap servers.
+ * Running ones continue; in the last RECLAIM_MOVE_US the requests of one server
+ * after another are moved, so that they don't arrive in one burst. The server
+ * with the fewest requests is first, so that the others have more time to
+ * finish theirs. Servers that appear in the zone during the notice are treated
+ * in the same way, and no cheap servers are ordered in that zone for a while
  * (target_reclaimed()).
  */
 #define RECLAIM_MOVE_US INT64_C(2000000)
 
 struct reclaim_hooks {
-	/** Nothing new for this server (or again some). */
+	/** Stop or resume new requests to this server. */
 	void (*mark)(void *data, const char *address, bool drained);
-	/** Move its work elsewhere now: router_backend_lost(). */
+	/** Retry its requests on other servers: router_backend_lost(). */
 	void (*move)(void *data, const char *address);
 	void *data;
 };
@@ -37,11 +38,11 @@
 struct reclaims *reclaims_new(const struct reclaim_hooks *hooks);
 void reclaims_free(struct reclaims *reclaims);
 
-/** The platform's notice: cheap servers of `zone` end in `in_us`. */
+/** The platform's notice: `zone` loses its cheap servers in `in_us`. */
 void reclaims_notice(struct reclaims *reclaims, const struct fleet *fleet,
 		     const char *zone, int64_t in_us, int64_t now_us);
 
-/** Mark newcomers, move what is due, forget what is over. */
+/** Drain new servers, move requests that are due, drop notices that ended. */
 void reclaims_tick(struct reclaims *reclaims, const struct fleet *fleet,
 		   int64_t now_us);
 
@@ -51,12 +52,12 @@
 
 struct reclaim_counts {
 	int64_t notices;
-	int64_t servers; /**< that were given up */
+	int64_t servers; /**< that were drained */
 	int64_t running; /**< requests on them at the notice */
-	int64_t moved;	 /**< requests still there when given up */
+	int64_t moved;	 /**< requests that were retried elsewhere */
 };
 
-/** Since the start; running less moved ended by themselves. */
+/** Totals since the start; running - moved requests finished in time. */
 struct reclaim_counts reclaims_counts(const struct reclaims *reclaims);
 
 #endif
--- a/libfilberthall/fleet/registry.c
+++ b/libfilberthall/fleet/registry.c
@@ -89,7 +89,7 @@
 		    : NULL;
 }
 
-/* A start that left stays dead, whatever else arrives of it. */
+/* A start that is gone stays so, whichever of its messages still arrive. */
 static bool is_stale(const struct registry_entry *known,
 		     const struct registration *told)
 {
@@ -100,7 +100,7 @@
 	return !told->gone && told->sequence <= known->registration.sequence;
 }
 
-/* Whether others must hear of it: not the figures that change at each beat. */
+/* Whether to forward it; fields that change with each message don't count. */
 static bool is_news(const struct registration *before,
 		    const struct registration *told)
 {
@@ -139,7 +139,7 @@
 		return REGISTRY_STALE;
 	if (holder == known)
 		holder = NULL;
-	/* A late word of a start whose address has a newer one. */
+	/* A delayed message of a start whose address a newer one has. */
 	if (holder && !told->gone &&
 	    told->started_ms < holder->registration.started_ms)
 		return REGISTRY_STALE;
--- a/libfilberthall/fleet/registry.h
+++ b/libfilberthall/fleet/registry.h
@@ -8,84 +8,85 @@
 #include "fleet/backend.h"
 
 /**
- * Which starts of backend servers are known, told by themselves to some
- * control VM and passed on to all others and to the entry VMs.
+ * Table of backend servers. Each server registers with some control VM, which
+ * forwards the registration to the other control VMs and to the entry VMs.
  *
- * Failures answered: what a server says arrives late, twice, in any order and
- * over several VMs. Taken as it comes, a late "ready" would bring back a
- * server that has left, or one whose address another service has meanwhile,
- * and requests would go there. Each start of a server is told apart by the
- * moment at which it began, within a start a counter orders what it says; and
- * a start that has left stays dead.
+ * Failures handled: registrations arrive late, twice, out of order and through
+ * several VMs. If all were applied, a late "ready" would add a server again
+ * that has stopped, or whose address belongs to another service by now, and
+ * requests would be sent there. So each start of a server is identified by its
+ * start time, the registrations of one start are ordered by a sequence number,
+ * and a start that is gone is never used again.
  *
- * Silence: a server that is heard by nobody is dropped, but only while others
- * are heard. If the control VMs themselves are gone, the last known servers
- * are the best there are.
+ * A server times out if no VM has had contact with it, but only while other
+ * servers are in contact. If the control VMs themselves have failed, the last
+ * known servers continue to be used.
  */
 
-/** One start of a backend server. Plain data, copied freely. */
+/** Registration of one start of a backend server. Plain data, may be copied. */
 struct registration {
 	char id[BACKEND_NAME_SIZE];
 	char address[BACKEND_NAME_SIZE]; /**< IP:port */
 	char service[BACKEND_NAME_SIZE];
 	char zone[BACKEND_NAME_SIZE];
-	int64_t started_ms; /**< wall clock of its start; 0 if it doesn't say */
-	int64_t sequence;   /**< grows with all that this start says */
-	int64_t slots;	    /**< requests at once */
-	int64_t leaves_ms;  /**< when it will be gone, 0 unknown */
-	bool cheap;	    /**< may be reclaimed, with its zone */
-	bool leaving;	    /**< no new work */
-	bool gone;	    /**< this start will never work again */
+	int64_t started_ms; /**< wall clock at its start; 0 if not given */
+	int64_t sequence;   /**< incremented with each message of this start */
+	int64_t slots;	    /**< concurrent requests */
+	int64_t leaves_ms;  /**< wall clock at its planned end, 0 if unknown */
+	bool cheap;	    /**< may be reclaimed, together with its zone */
+	bool leaving;	    /**< gets no new requests */
+	bool gone;	    /**< this start has ended for good */
 };
 
-/** A registration as it is kept. */
+/** The latest registration of a server, and its state here. */
 struct registry_entry {
 	struct map_node node;	      /**< by id */
 	struct map_node address_node; /**< by address, unless gone */
 	struct map_node
-		short_id_node; /**< by registration_mark(), unless gone */
-	bool indexed;	       /**< `place` and `mark` are in their maps */
+		short_id_node; /**< by registration_short_id(), unless gone */
+	bool indexed; /**< address_node and short_id_node are in maps */
 	struct registration registration;
-	int64_t last_contact_us;	/**< last sign of life, own clock */
-	int64_t last_direct_contact_us; /**< last one that this VM heard by itself */
-	bool timed_out;			/**< unheard while others were heard */
+	int64_t last_contact_us; /**< of any VM with the server, own clock */
+	int64_t last_direct_contact_us; /**< of this VM with the server */
+	bool timed_out; /**< no contact, while others had some */
 };
 
 struct registry {
 	struct map by_id;
-	struct map by_address;	 /**< those that aren't gone */
-	struct map by_short_id;	 /**< the same */
-	int64_t last_contact_us; /**< when any server was last heard of */
-	int64_t timeout_us;	 /**< for so long unheard while others were */
+	struct map by_address;	 /**< entries that aren't gone */
+	struct map by_short_id;	 /**< entries that aren't gone */
+	int64_t last_contact_us; /**< with any server */
+	int64_t timeout_us;	 /**< see REGISTRY_TIMEOUT_MIN_US */
 };
 
-/** What a message did. */
+/** Result of a registration. */
 enum registry_outcome {
-	REGISTRY_STALE,	    /**< older than what is known: ignored */
-	REGISTRY_REFRESHED, /**< alive, and nothing new */
-	REGISTRY_CHANGED,   /**< pass it on */
+	REGISTRY_STALE,	    /**< older than the known one, ignored */
+	REGISTRY_REFRESHED, /**< nothing changed but the time of contact */
+	REGISTRY_CHANGED,   /**< changed, to be forwarded */
 };
 
 /**
- * A start that nobody has heard for so many of its beats, and this time at
- * least, gets no work until it is heard again: so that a VM that was cut off
- * and the beats that went to it don't cost a server.
+ * A server gets no requests after so many announcement intervals without
+ * contact, but at least this time, until it is in contact again. The timeout is
+ * long enough that a server isn't lost only because the VM that received its
+ * last announcements was cut off.
  */
 #define REGISTRY_TIMEOUT_HEARTBEATS 6
 #define REGISTRY_TIMEOUT_MIN_US INT64_C(8000000)
 
 /**
- * How long a dead start is remembered. A message that was held up by a
- * partition may come minutes later.
+ * How long a start that is gone is kept: a network partition may delay its
+ * messages by minutes.
  */
 #define REGISTRY_TOMBSTONE_US INT64_C(600000000)
 
-/** `beat_us`: how often servers are heard from, 0 if it isn't known. */
+/** `beat_us`: interval of a server's announcements, 0 if unknown. */
 void registry_init(struct registry *registry, int64_t beat_us);
 void registry_clear(struct registry *registry);
 
 /**
- * Take in what a server said at `heard_us`.
+ * Apply a registration that a VM received at `heard_us`.
  *
  * @param replaced	set to an older start at the same address, which is
  *			marked as gone, or NULL
@@ -95,42 +96,43 @@
 				      int64_t heard_us,
 				      struct registry_entry **replaced);
 
-/** A server said goodbye: no new work for it. NULL if it is unknown. */
+/** Mark a server that has unregistered as gone. NULL if it is unknown. */
 struct registry_entry *registry_mark_gone(struct registry *registry,
 					  const char *id);
 
-/** The start is alive as of `heard_us`; NULL if it isn't the one known. */
+/** Record contact with a start; NULL if that isn't the known one, or gone. */
 struct registry_entry *registry_heartbeat(struct registry *registry,
 					  const char *id, int64_t born_ms,
 					  int64_t heard_us);
 
-/** A start's short name on links: REGISTRATION_MARK_BYTES of a hash. */
+/** Short id of a start on links: REGISTRATION_SHORT_ID_BYTES of a hash. */
 #define REGISTRATION_SHORT_ID_BYTES 5
 uint64_t registration_short_id(const char *id, int64_t born_ms);
 
-/** The start with that mark that isn't gone, or NULL. */
+/** The entry with that short id, or NULL if there is none or it is gone. */
 struct registry_entry *registry_find_short_id(const struct registry *registry,
 					      uint64_t mark);
 
-/** Some server was heard, known or not. */
+/** Record contact with some server, known or not. */
 void registry_note_contact(struct registry *registry, int64_t heard_us);
 
-/** Whether the start may get new work. */
+/** Whether the server may get new requests. */
 bool registry_entry_usable(const struct registry_entry *registered);
 
-/** Number of servers that may get work. */
+/** Number of servers that may get new requests. */
 int registry_count_usable(const struct registry *registry);
 
 struct registry_entry *registry_find(const struct registry *registry,
 				     const char *id);
 
-/** The living start at that address, or NULL. */
+/** The entry with that address that isn't gone, or NULL. */
 struct registry_entry *registry_find_address(const struct registry *registry,
 					     const char *address);
 
 /**
- * Mark as silent what wasn't heard while others were, and forget what has long
- * been dead. Calls `silent` (NULL is allowed) with each newly silent one.
+ * Mark servers without contact as timed out, and free entries that are gone for
+ * REGISTRY_TOMBSTONE_US. Calls `silent` (NULL is allowed) for each server that
+ * has newly timed out.
  */
 void registry_expire(struct registry *registry, int64_t now_us,
 		     void (*silent)(void *data,
--- a/libfilberthall/fleet/sizing.c
+++ b/libfilberthall/fleet/sizing.c
@@ -18,7 +18,7 @@
 			     (double)sizing->n_zones);
 }
 
-/* What a zone may have of steady ones beside the cheap ones there. */
+/* How many steady servers a zone may have beside its cheap ones. */
 static int64_t room_for_steady(const struct sizing *sizing,
 			       const struct sizing_zone *zone)
 {
@@ -27,7 +27,7 @@
 	return room > 0 ? room : 0;
 }
 
-/* Steady ones as far as there's room, and cheap ones in what they leave. */
+/* Want steady servers up to the maximum, and fewer cheap ones if needed. */
 static void want_steady(const struct sizing *sizing, struct sizing_zone *zone,
 			int64_t want)
 {
@@ -38,7 +38,7 @@
 		zone->want_cheap = sizing->most - zone->want_steady;
 }
 
-/* Without enough cheap ones: what serves stays, and the rest is made up. */
+/* Too few cheap servers: keep the steady ones and order what is missing. */
 static void plan_steady(struct sizing *sizing)
 {
 	int64_t missing = part(sizing, SIZING_ENOUGH) - cheap_serving(sizing);
@@ -55,9 +55,10 @@
 }
 
 /*
- * Zones that have no cheap ones to give. What has to be made up there is ordered
- * at once: by the time requests come late, four more seconds of them will. It
- * stays until the zones have cheap ones again.
+ * Replace cheap servers in zones that have none on offer. The steady ones are
+ * ordered at once: if the order waited until requests are late, those of the
+ * four seconds of a start would be late as well. They are kept until the zones
+ * have cheap servers again.
  */
 static void plan_dry(struct sizing *sizing)
 {
@@ -89,7 +90,7 @@
 	for (i = 0; i < sizing->n_zones; i++) {
 		struct sizing_zone *zone = &sizing->zones[i];
 
-		/* A place takes no more of both together. */
+		/* Steady and cheap servers together are at most `most`. */
 		zone->want_cheap = 0;
 		if (sizing->has_cheap && zone->steady < sizing->most)
 			zone->want_cheap = sizing->most - zone->steady;
--- a/libfilberthall/fleet/sizing.h
+++ b/libfilberthall/fleet/sizing.h
@@ -6,49 +6,54 @@
 #include <stdint.h>
 
 /**
- * How many servers of a service there shall be in each zone, of either kind.
+ * Number of steady and cheap servers that a service needs in each zone.
  *
- * Load pattern: a pool that was sized by hand for the busiest hour. Steady
- * servers cost five to six times what cheap ones do, and cheap ones go a whole
- * zone at once on seconds' notice, at times with none to be had there for a
- * while. A fleet of steady ones costs a fifth of all that it earns.
+ * Load pattern handled: a pool that was sized by hand for the busiest hour.
+ * Steady servers cost five to six times as much as cheap ones, but the platform
+ * reclaims all cheap ones of a zone at once on seconds' notice, and may then
+ * offer none there for a while. A fleet of steady servers alone costs a fifth
+ * of its revenue.
  *
- * So: cheap ones, as many as a zone may have. Idle ones cost little and hold
- * shared prompt parts, and a burst of twice the load or a zone that is taken
- * away finds room at once, while a server ordered then serves four seconds
- * later. Steady ones serve until enough cheap ones do, and again when too few
- * are left. Places that have no cheap ones to give are made up with steady ones
- * at once, to half the pool: a burst just then finds it without room.
+ * So each zone gets as many cheap servers as it may have. Idle ones cost little
+ * and cache shared prompt prefixes, and they have room at once for a burst of
+ * twice the load or for the work of a reclaimed zone, whereas a server that is
+ * only ordered then serves four seconds later. Steady servers are used until
+ * enough cheap ones serve, and again when too few are left. If zones have no
+ * cheap servers on offer, steady ones are ordered at once up to half of the
+ * pool, since a burst at that time would find too little capacity.
  */
 
 #define SIZING_ZONES 16
 
 /**
- * Steady ones stay, or come back, while fewer cheap ones than this part of
- * those wanted serve: a third carries the mean load.
+ * Steady servers are kept or ordered while fewer cheap servers than this
+ * fraction of the pool's maximum serve. A third carries the mean load.
  */
 #define SIZING_ENOUGH (1.0 / 3)
 
-/** So large a part of those wanted shall serve where a place has none to give. */
+/**
+ * Fraction of the pool's maximum that shall serve while some zone has no cheap
+ * servers on offer.
+ */
 #define SIZING_LEAST 0.5
 
 struct sizing_zone {
-	int64_t steady; /**< servers that serve now */
-	int64_t cheap;	/**< the same, of those that may be reclaimed */
-	bool dry;	/**< no cheap one was to be had at the last asking */
+	int64_t steady;	     /**< steady servers that serve now */
+	int64_t cheap;	     /**< cheap servers that serve now */
+	bool dry;	     /**< the last order of a cheap one was refused */
 	int64_t want_steady; /**< out */
 	int64_t want_cheap;  /**< out */
 };
 
 struct sizing {
-	int64_t least; /**< of both kinds, in each zone */
+	int64_t least; /**< servers of both kinds, in each zone */
 	int64_t most;
 	bool has_cheap;
 	size_t n_zones;
 	struct sizing_zone zones[SIZING_ZONES];
 };
 
-/** Fill in what each zone shall have. */
+/** Set want_steady and want_cheap of each zone. */
 void sizing_plan(struct sizing *sizing);
 
 #endif
--- a/libfilberthall/fleet/spend.c
+++ b/libfilberthall/fleet/spend.c
@@ -28,7 +28,7 @@
 struct spend {
 	struct list zones;
 	struct list teams;
-	int64_t last_us; /**< of the last tick, 0 for none */
+	int64_t last_us; /**< time of the last tick, 0 for none */
 	double per_hour; /**< at the last tick */
 };
 
--- a/libfilberthall/fleet/spend.h
+++ b/libfilberthall/fleet/spend.h
@@ -9,26 +9,26 @@
 #include "fleet/target.h"
 
 /**
- * What backend servers cost against the service they gave, by zone and kind
- * and by team, for `filberthall spend` and the metrics.
+ * Cost of the backend servers by zone and kind, and cost and attained requests
+ * by team, for `filberthall spend` and the metrics.
  *
- * A server is counted from its first to its last announcement; what the
- * platform bills for starting up isn't seen from here. Its cost falls to the
- * team of its pool, attained requests to the team of their class.
+ * A server is counted from its first to its last announcement, so the time that
+ * the platform bills for its start-up is missing. Its cost is charged to the
+ * team of its pool; attained requests count for the team of their class.
  */
 struct spend;
 
 struct spend *spend_new(void);
 void spend_free(struct spend *spend);
 
-/** Add the cost since the last tick, by the prices and pools of `target`. */
+/** Add the cost since the last tick, with the prices and pools of `target`. */
 void spend_tick(struct spend *spend, const struct fleet *fleet,
 		const struct target *target, int64_t now_us);
 
-/** Count a request that ended. */
+/** Count a request that has ended. */
 void spend_count(struct spend *spend, const char *team, bool attained);
 
-/** Cost of a team's servers so far. */
+/** Total cost of a team's servers. */
 double spend_of_team(const struct spend *spend, const char *team);
 
 /**
--- a/libfilberthall/fleet/target.c
+++ b/libfilberthall/fleet/target.c
@@ -11,7 +11,7 @@
 #define TARGET_ZONE_MAX 1000
 #define TARGET_SLOTS 16
 
-/* No plan for more than twice the present demand: a trend may end. */
+/* Extrapolate to at most twice the present demand: a trend may end. */
 #define TARGET_AHEAD_MAX 2.0
 
 struct target *target_new(void)
@@ -145,7 +145,7 @@
 	budget->per_hour = per_hour;
 }
 
-/* Note a value and return the highest of the last `shrink_after_us`. */
+/* Record a value and return the maximum of the last `shrink_after_us`. */
 static double target_peak_note(struct target_peak *peak, double value,
 			       int64_t part_us, int64_t now_us)
 {
@@ -167,7 +167,7 @@
 	return highest;
 }
 
-/* Follow the demand's slope, smoothed over a start-up: a burst is no trend. */
+/* Update the demand's slope, smoothed so that a short burst isn't a trend. */
 static void target_follow_slope(struct target_entry *entry, double all,
 				int64_t start_us, int64_t now_us)
 {
@@ -181,7 +181,7 @@
 	entry->slope += (weight < 1 ? weight : 1) * (slope - entry->slope);
 }
 
-/* By how much more there will be when a server ordered now has started. */
+/* Growth of the demand until a server that is ordered now has started. */
 static double target_ahead(const struct target_entry *entry, double all,
 			   int64_t start_us)
 {
@@ -269,7 +269,7 @@
 	return sum;
 }
 
-/* What there is: usable servers, and starts that are under way. */
+/* Counting of usable servers and of starts that are ordered. */
 struct target_count {
 	struct target *target;
 	const struct fleet *fleet;
@@ -312,7 +312,7 @@
 			!strcmp(codec_text(order, "kind", ""), "cheap"))]++;
 }
 
-/* An offer that was refused holds again once it has brought a server. */
+/* Reset the backoff of a refused offer once it has yielded a server. */
 static void target_prove_offers(struct target *target)
 {
 	const struct target_entry *entry;
@@ -351,7 +351,7 @@
 	order_book_visit(book, target_count_order, &count);
 }
 
-/* The least busy server of that pool, zone and kind, to be stopped. */
+/* The server of that pool, zone and kind with the fewest requests. */
 static const struct backend *target_pick_stop(const struct fleet *fleet,
 					      const struct target_entry *entry,
 					      const char *zone, bool cheap)
@@ -375,7 +375,7 @@
 	return least;
 }
 
-/* Starts of one pool; returns how many there were. */
+/* Visit the starts of one pool; returns their number. */
 static int
 target_visit_starts(struct target *target, const struct target_entry *entry,
 		    void (*visit)(void *data, const struct target_step *step),
--- a/libfilberthall/fleet/target_plan.c
+++ b/libfilberthall/fleet/target_plan.c
@@ -3,7 +3,7 @@
 
 #include "fleet/target_state.h"
 
-/* Servers that `slots` of demand need. */
+/* Number of servers needed for a demand of `slots`. */
 static int64_t target_servers(const struct target *target,
 			      const struct target_entry *entry, double slots,
 			      double spare)
@@ -27,9 +27,9 @@
 }
 
 /*
- * Whether a further server may be wanted there: one that is there already
- * may stay, whatever is offered now; a new one must be to be had. Where the
- * last one was refused, one is asked for at a time.
+ * Whether the target may include one more server in the zone. An existing one
+ * may stay, whatever is on offer; a new one must be on offer. If the last order
+ * was refused, only one is ordered at a time.
  */
 static bool target_may_want(const struct target *target,
 			    const struct target_entry *entry, int zone,
@@ -47,9 +47,9 @@
 }
 
 /*
- * How full a zone would be with one more. A server that stands there counts
- * for one less: zones may differ by one, or each change of what is offered
- * would start a server in one zone and stop one in another.
+ * How full a zone counts for the next server. It counts one less if that server
+ * exists already: zones may differ by one server, or else each change of the
+ * offers would start a server in one zone and stop one in another.
  */
 static int64_t target_fill(const struct target_entry *entry, int zone,
 			   enum target_kind kind)
@@ -59,7 +59,7 @@
 	return want < entry->have.at[zone][kind] ? want - 1 : want;
 }
 
-/* Whether `zone` is to be preferred to `other`; with no other it is. */
+/* Whether `zone` is preferred to `other`, which is negative for none. */
 static bool target_is_better(const struct target *target,
 			     const struct target_entry *entry, int zone,
 			     int other, enum target_kind kind)
@@ -81,8 +81,9 @@
 }
 
 /*
- * The zone for one more: the emptiest, so that a lost zone takes least; among
- * equals one where a server already stands, then the cheapest.
+ * The zone for one more server: the one with the fewest, so that the loss of a
+ * zone costs the fewest servers; of equals one where the server exists already,
+ * then the cheapest.
  */
 static int target_best_zone(const struct target *target,
 			    const struct target_entry *entry,
@@ -98,7 +99,7 @@
 	return best;
 }
 
-/* Want `n` more of a kind; returns how many found no zone. */
+/* Add `n` servers of a kind to the target; returns how many found no zone. */
 static int64_t target_spread(const struct target *target,
 			     struct target_entry *entry, enum target_kind kind,
 			     int64_t n, int64_t now_us)
@@ -113,7 +114,7 @@
 	return n;
 }
 
-/* Zones in which a steady server stands or can be had. */
+/* Number of zones in which a steady server exists or can be ordered. */
 static int target_count_zones(const struct target *target,
 			      const struct target_entry *entry, int64_t now_us)
 {
@@ -159,8 +160,8 @@
 }
 
 /*
- * A fall of the plan by less than a server's tenth is no reason to stop one:
- * around a whole number the sum would go up and down with the noise.
+ * Fraction of a server's slots by which the demand must fall before a server is
+ * stopped; otherwise noise around a whole number would start and stop servers.
  */
 #define TARGET_KEEP 0.1
 
@@ -200,9 +201,9 @@
 		firm = total;
 	cheap = (int64_t)((double)(total - firm) * entry->pool.cheap_share);
 	/*
-	 * Servers beyond the demand (the pool's least number, hysteresis) must
-	 * be able to take anything: a floor of cheap ones alone would refuse
-	 * every request that may not be reclaimed.
+	 * Servers beyond the demand (the pool's minimum, hysteresis) must be
+	 * able to serve any request: cheap servers alone would refuse every
+	 * request that may not be reclaimed.
 	 */
 	carried = target_servers(target, entry, entry->all - entry->firm,
 				 target->policy.spare);
@@ -240,7 +241,7 @@
 	return cost;
 }
 
-/* Want one less of a team's kind where most are wanted; false if none can. */
+/* Remove one server of a kind where the team has most; false if none is left. */
 static bool target_cut_one(struct target *target, const char *team,
 			   enum target_kind kind)
 {
--- a/libfilberthall/fleet/target_state.h
+++ b/libfilberthall/fleet/target_state.h
@@ -5,8 +5,7 @@
 #include "fleet/target.h"
 
 /**
- * Inside of the plan, shared by target.c and target_plan.c; no one else
- * includes it.
+ * Private state of target.c and target_plan.c; not included elsewhere.
  */
 
 enum target_kind { TARGET_STEADY, TARGET_CHEAP, TARGET_KINDS };
@@ -14,9 +13,9 @@
 struct target_offer {
 	double price;
 	bool offered;
-	int64_t closed_until_us; /**< backs off until then */
-	int64_t backoff_us;	 /**< of the next refusal; 0: not refused */
-	int64_t servers;	 /**< that stood there at the last plan */
+	int64_t closed_until_us; /**< not ordered before this */
+	int64_t backoff_us; /**< after the next refusal; 0 if not refused */
+	int64_t servers;    /**< that existed at the last plan */
 };
 
 struct target_zone {
@@ -25,16 +24,16 @@
 	struct target_offer offers[TARGET_KINDS];
 };
 
-/** Numbers by zone and kind. */
+/** Number of servers by zone and kind. */
 struct target_counts {
 	int64_t at[TARGET_ZONES][TARGET_KINDS];
 };
 
-/** The highest of each part of the last `shrink_after_us`. */
+/** Maximum of a value in each interval of the last `shrink_after_us`. */
 #define TARGET_PEAKS 10
 struct target_peak {
 	double parts[TARGET_PEAKS];
-	int64_t step; /**< number of the newest part */
+	int64_t step; /**< number of the newest interval */
 };
 
 struct target_entry {
@@ -44,15 +43,15 @@
 	struct target_peak firm_peak;
 	struct target_peak all_peak;
 	double tier0; /**< slots, as planned for */
-	double firm;  /**< that may not run on cheap servers */
+	double firm;  /**< slots that may not be cheap */
 	double all;
-	double last_all;  /**< noted last */
-	double slope;	  /**< slots a microsecond, smoothed */
-	int64_t noted_us; /**< 0 never */
+	double last_all;  /**< last recorded demand */
+	double slope;	  /**< slots per microsecond, smoothed */
+	int64_t noted_us; /**< of the last demand, 0 for none */
 	struct target_counts have;
 	struct target_counts want;
 	bool starting; /**< a start is ordered and not known to be done */
-	int64_t floor; /**< steady ones in each zone for tier 0 */
+	int64_t floor; /**< steady servers for tier 0 in each zone */
 	int64_t slots; /**< of one server, as announced */
 };
 
@@ -71,21 +70,21 @@
 	int n_zones;
 };
 
-/** Index of a zone, new if there is room, else -1. */
+/** Index of a zone, which is added if needed; -1 if there is no room. */
 int target_zone_at(struct target *target, const char *name);
 
-/** Whether that kind can be ordered there now. */
+/** Whether that kind of server can be ordered in the zone now. */
 bool target_offer_open(const struct target *target, int zone,
 		       enum target_kind kind, int64_t now_us);
 
-/** Work out entry->want from demand, floor and offers. */
+/** Compute entry->want from demand, floor and offers. */
 void target_work_out(struct target *target, struct target_entry *entry,
 		     int64_t now_us);
 
-/** Cut wants down to the teams' budgets. */
+/** Reduce the target numbers to the teams' budgets. */
 void target_keep_budgets(struct target *target);
 
-/** Sum of one kind. */
+/** Number of servers of one kind in all zones. */
 int64_t target_sum(const struct target *target,
 		   const struct target_counts *counts, enum target_kind kind);
 
--- a/libfilberthall/fleet/weight.c
+++ b/libfilberthall/fleet/weight.c
@@ -16,8 +16,8 @@
 	char *name;
 	enum weight_verb verb;
 	int urgency;
-	bool running;	    /**< sent and not known to be over */
-	int64_t started_us; /**< first sent */
+	bool running;	    /**< sent and not known to have ended */
+	int64_t started_us; /**< when it was first sent */
 	int64_t next_us;    /**< not sent again before */
 };
 
@@ -27,7 +27,7 @@
 
 static const struct {
 	const char *name;
-	bool loads; /**< draws from the weight store */
+	bool loads; /**< loads from the weight store */
 } weight_verbs[] = {
 	[WEIGHT_LOAD_MODEL] = { "load-model", true },
 	[WEIGHT_LOAD_ADAPTER] = { "load-adapter", true },
@@ -150,7 +150,7 @@
 	return n;
 }
 
-/* The most urgent that isn't running, the oldest among equals, or NULL. */
+/* The most urgent order that isn't running, the oldest of equals, or NULL. */
 static struct weight *weights_next(const struct weights *weights, bool loads)
 {
 	struct weight *first = NULL;
@@ -167,8 +167,8 @@
 }
 
 /*
- * An engine that never finishes a load must not hold its place for good: the
- * order goes back to the end of the queue, under the same id.
+ * A load that never finishes must not count towards the limit for ever: its
+ * order is moved to the end of the queue, under the same id.
  */
 static void weights_poll(struct weights *weights, int64_t fence, int64_t now_us,
 			 struct effects *effects)
--- a/libfilberthall/fleet/weight.h
+++ b/libfilberthall/fleet/weight.h
@@ -11,16 +11,16 @@
 /**
  * Orders to engines: load a model or an adapter, change version or role.
  *
- * Load pattern: after a zone is lost many engines are told to load weights at
- * once. The weight store is rate-limited, so all of them crawl, and the model
- * that tier 0 waits for comes no sooner than the last. Here only `limit`
- * loads run at a time; the most urgent goes next, among equals the oldest.
+ * Load pattern handled: after the loss of a zone many engines have to load
+ * weights at once. The weight store is rate-limited, so all loads would be
+ * slow, and the model that tier 0 needs would be ready no sooner than the last
+ * one. So only `limit` loads run at a time, by urgency and then by age.
  *
- * Failures answered: an answer is lost, or the one in charge is replaced. An
- * order's id is made of what it wants and why (`reason`, such as the log
- * index of the setting that caused it), so a successor that wants the same
- * makes the same id and the engine does nothing twice. Some engines ignore
- * the fencing number: no order is sent whose time-out would pass the lease.
+ * Failures handled: an answer is lost, or the lease holder is replaced. An
+ * order's id is made of its content and its cause (`reason`, such as the log
+ * index of the setting that caused it), so a new lease holder generates the
+ * same id, and the engine carries it out only once. Some engines ignore the
+ * fencing number, so no order is sent whose timeout ends after the lease.
  */
 #define WEIGHT_TIMEOUT_MS 1000
 #define WEIGHT_POLL_US INT64_C(2000000)
@@ -38,7 +38,7 @@
 	const char *address;
 	enum weight_verb verb;
 	const char *name; /**< of the model, adapter, version or role */
-	int urgency;	  /**< 0 first: the tier that waits for it */
+	int urgency;	  /**< tier that needs it, 0 is the most urgent */
 	int64_t reason;
 };
 
@@ -47,30 +47,30 @@
 struct weights *weights_new(void);
 void weights_free(struct weights *weights);
 
-/** Charge was lost or taken anew: forget all; wishes come again. */
+/** The lease was acquired or lost: drop all orders; they are added again. */
 void weights_reset(struct weights *weights);
 
 /**
- * Wish for an order. A wish that is there already only becomes more urgent.
+ * Add an order. For one that was added before only the urgency may increase.
  */
 void weights_add(struct weights *weights, const struct weight_order *order,
 		 int64_t now_us);
 
-/** Drop the wishes for a server that is gone. */
+/** Drop the orders to a server that is gone. */
 void weights_forget(struct weights *weights, const char *address);
 
 /**
- * Send what is due: `limit` loads at once at most (verbs that load nothing
- * aren't counted), no call past `until_us`.
+ * Send the orders that are due: at most `limit` loads at once (verbs that load
+ * nothing aren't counted), and none whose timeout ends after `until_us`.
  */
 void weights_tick(struct weights *weights, int limit, int64_t fence,
 		  int64_t until_us, int64_t now_us, struct effects *effects);
 
-/** An engine's answer; false if it is for no order of this module. */
+/** Handle an engine's answer; false if it is for no order of this module. */
 bool weights_answer(struct weights *weights,
 		    const struct event_platform *answer, int64_t now_us);
 
-/** Orders waiting and running. */
+/** Number of orders not yet sent, and of orders running. */
 int weights_waiting(const struct weights *weights);
 int weights_running(const struct weights *weights);
 
