--- a/libfilberthall/core/propose.c
+++ b/libfilberthall/core/propose.c
@@ -1,19 +1,19 @@
 /*
- * Entries on their way into the log.
- *
- * Failure answered: the leader changes while an entry is on the way, or the
- * message to it is lost. Nobody tells; so an entry is sent again until it
- * comes out of the log or its time is over. Entries may therefore stand in
- * the log twice, and each kind is made so that the second does nothing:
- * operators' changes by their change id, claims and windows by the first
- * one that holds.
+ * Proposes log entries. A proposal is lost without notice if the leader
+ * changes or the message to it is lost, so an entry is sent again until it is
+ * committed or expires. The log may therefore hold an entry twice, and the
+ * second one has no effect: operators' changes are deduplicated by their
+ * change id; of claims and windows the first entry counts.
  */
 #include <stdlib.h>
 
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* Longer than a sync and two hops between zones, so few go twice. */
+/*
+ * Longer than a sync and two hops between zones, so that few entries are sent
+ * twice.
+ */
 #define PROPOSE_RETRY_US 300000
 
 static void propose_send(struct core *core, struct proposal *proposal)
@@ -38,7 +38,7 @@
 	proposal->ticket = ticket;
 	proposal->entry = *entry;
 	*entry = (struct bytes){ 0 };
-	proposal->give_up_us = give_up_us;
+	proposal->expires_us = give_up_us;
 	list_append(&core->proposals, &proposal->node);
 	propose_send(core, proposal);
 	return proposal;
@@ -67,13 +67,16 @@
 	struct proposal *next;
 
 	list_foreach_safe(proposal, next, &core->proposals, node) {
-		if (proposal->give_up_us <= core->now_us) {
+		if (proposal->expires_us <= core->now_us) {
 			if (proposal->admin_id)
-				operator_lost(core, proposal);
+				operator_timed_out(core, proposal);
 			propose_free(proposal);
 			continue;
 		}
-		/* As leader it waits in our own log, however slow the disk. */
+		/*
+		 * On the leader the entry is in its own log already, however
+		 * slow the disk.
+		 */
 		if (proposal->index && raft_is_leader(core->raft) &&
 		    proposal->term == raft_term(core->raft))
 			continue;
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -1,12 +1,11 @@
 /*
- * Callers' requests: who asks, may they, is this call one that may not be
- * repeated, and then off to the router.
- *
- * Failures answered here. A VM that is cut off doesn't hear of withdrawn
- * keys: it admits nothing once what it knows is older than the staleness
- * bound. A caller that got no answer sends a lodgement again, perhaps
- * through another VM: a claim in the log is opened before anything is sent,
- * so the second arrival finds the first.
+ * Callers' requests: authenticates and authorises the caller, opens a claim
+ * for a call that may not be repeated, and submits the request to the router.
+ * A disconnected VM doesn't learn of withdrawn keys, so it admits nothing once
+ * its state is older than the staleness bound. A caller without an answer may
+ * send a non-repeatable call again through another VM. Its claim is therefore
+ * committed to the log before anything is sent, and the second request finds
+ * it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -15,14 +14,14 @@
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* When to come back after a refusal that time will mend. */
+/* Retry-after of a refusal whose cause is temporary. */
 #define REQUEST_RETRY_SOON_MS 1000
 
-/* What the request's own headers and the settings make of it. */
+/* Result of checking a request against the settings. */
 struct request_plan {
 	const struct key *key;
 	const char *class_name;
-	const char *repeat_key; /* NULL: not claimed */
+	const char *dedup_key; /* NULL: not claimed */
 	bool idempotent;
 	enum result code;
 	const char *message;
@@ -74,8 +73,8 @@
 	caller_request_free(core, request);
 }
 
-static void request_plan_refuse(struct request_plan *plan, enum result code,
-				const char *message)
+static void request_plan_set_refusal(struct request_plan *plan,
+				     enum result code, const char *message)
 {
 	plan->code = code;
 	plan->message = message;
@@ -93,23 +92,23 @@
 	route = service ? rules_route(service, asked->method, asked->path)
 			: NULL;
 	if (!route) {
-		request_plan_refuse(plan, RESULT_NO_ROUTE, asked->service);
+		request_plan_set_refusal(plan, RESULT_NO_ROUTE, asked->service);
 		return;
 	}
 	if (!plan->class_name && route->class_name[0])
 		plan->class_name = route->class_name;
 	plan->idempotent = route->idempotency == IDEMPOTENCY_SAFE;
 	if (route->idempotency == IDEMPOTENCY_REQUIRED) {
-		plan->repeat_key = asked->idempotency_key;
-		if (!plan->repeat_key)
-			request_plan_refuse(
+		plan->dedup_key = asked->idempotency_key;
+		if (!plan->dedup_key)
+			request_plan_set_refusal(
 				plan, RESULT_NEEDS_IDEMPOTENCY_KEY,
 				"send a header Idempotency-Key that is new for "
 				"each call and the same for a resend");
 	} else if (route->idempotency == IDEMPOTENCY_BODY) {
-		plan->repeat_key = asked->idempotency_key
-					   ? asked->idempotency_key
-					   : asked->body_hash;
+		plan->dedup_key = asked->idempotency_key
+					  ? asked->idempotency_key
+					  : asked->body_hash;
 	}
 }
 
@@ -124,7 +123,7 @@
 	rule = rules_class(agreed_settings(core->agreed), plan->class_name);
 	plan->idempotent = rule && rule->idempotent;
 	if (!plan->idempotent)
-		plan->repeat_key = asked->idempotency_key;
+		plan->dedup_key = asked->idempotency_key;
 }
 
 static void request_plan_permit(struct core *core,
@@ -134,15 +133,16 @@
 	enum result code;
 
 	if (!plan->class_name) {
-		request_plan_refuse(plan, RESULT_CLASS_FORBIDDEN,
-				    "the key has no default class; name one "
-				    "in X-Filberthall-Class");
+		request_plan_set_refusal(
+			plan, RESULT_CLASS_FORBIDDEN,
+			"the key has no default class; name one "
+			"in X-Filberthall-Class");
 		return;
 	}
 	code = key_permits(plan->key, agreed_settings(core->agreed),
 			   plan->class_name, asked->model, asked->service);
 	if (code)
-		request_plan_refuse(plan, code, NULL);
+		request_plan_set_refusal(plan, code, NULL);
 }
 
 static struct request_plan request_plan(struct core *core,
@@ -151,16 +151,20 @@
 	struct request_plan plan = { 0 };
 
 	if (!asked->key_hash) {
-		request_plan_refuse(&plan, RESULT_NO_KEY,
-				    "send a header Authorization: Bearer KEY");
+		request_plan_set_refusal(
+			&plan, RESULT_NO_KEY,
+			"send a header Authorization: Bearer KEY");
 		return plan;
 	}
 	plan.key = keys_find(agreed_keys(core->agreed), asked->key_hash);
 	if (!plan.key || !plan.key->caller) {
-		request_plan_refuse(&plan, RESULT_KEY_UNKNOWN, NULL);
+		request_plan_set_refusal(&plan, RESULT_KEY_UNKNOWN, NULL);
 		return plan;
 	}
-	/* The caller's word first, then the route's, then the key's. */
+	/*
+	 * Class: the caller's header, else the route's default, else the
+	 * key's.
+	 */
 	plan.class_name = asked->class_name;
 	if (asked->kind == REQUEST_SERVICE)
 		request_plan_service(core, asked, &plan);
@@ -242,9 +246,10 @@
 	request_propose(core, &op, core->now_us + REQUEST_DEADLINE_US);
 }
 
-/* What an arrival meets whose claim is held by another, or by its past. */
-static void request_meet(struct core *core, struct caller_request *request,
-			 enum result code)
+/* Answers or queues a request whose claim exists already. */
+static void request_handle_claim_state(struct core *core,
+				       struct caller_request *request,
+				       enum result code)
 {
 	const struct claim *claim;
 
@@ -252,7 +257,7 @@
 	case RESULT_CLAIM_DONE:
 		claim = claims_find(agreed_claims(core->agreed),
 				    request->claim_id);
-		answer_kept(core, request, claim);
+		answer_from_claim(core, request, claim);
 		caller_request_free(core, request);
 		break;
 	case RESULT_CLAIM_RUNNING:
@@ -285,7 +290,7 @@
 	code = claims_probe(agreed_claims(core->agreed), request->claim_id,
 			    request->event->u.request.body_hash);
 	if (code)
-		request_meet(core, request, code);
+		request_handle_claim_state(core, request, code);
 	else
 		request_claim(core, request);
 }
@@ -335,12 +340,12 @@
 	request->class_name = xstrdup(plan.class_name);
 	request->idempotent = plan.idempotent;
 	request->deadline_us = request_deadline(core, asked, plan.class_name);
-	if (!plan.repeat_key) {
+	if (!plan.dedup_key) {
 		request_route(core, request);
 		return;
 	}
 	claim_id(request->claim_id, request->organisation,
-		 asked->service ? asked->service : "", plan.repeat_key);
+		 asked->service ? asked->service : "", plan.dedup_key);
 	request_probe(core, request);
 }
 
@@ -365,7 +370,7 @@
 		return;
 	}
 	if (outcome->code) {
-		request_meet(core, request, outcome->code);
+		request_handle_claim_state(core, request, outcome->code);
 		return;
 	}
 	answer_span(core, request, "claim", request->arrived_us, RESULT_OK,
@@ -374,7 +379,10 @@
 	request_route(core, request);
 }
 
-/* A claim left its state, or any may have (`claim_id` NULL): look again. */
+/*
+ * Checks the claims of waiting requests again after a change of one claim, or
+ * of any if `claim_id` is NULL.
+ */
 void request_claim_changed(struct core *core, const char *claim_id)
 {
 	struct caller_request *request;
@@ -424,7 +432,7 @@
 	caller_request_free(core, request);
 }
 
-/* Refuse what still waits for its claim at its deadline. */
+/* Refuses requests that still wait for their claim at their deadline. */
 void request_expire(struct core *core)
 {
 	struct caller_request *request;
--- a/libfilberthall/core/status.c
+++ b/libfilberthall/core/status.c
@@ -1,6 +1,6 @@
 /*
- * What operators and monitoring read: status, members, backend servers,
- * usage, and the views that the listeners serve.
+ * Answers of operators' read commands: status, members, backend servers and
+ * usage; and the model list and metrics that the listeners serve.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -46,7 +46,8 @@
 
 static json_t *status_worst(const struct core *core)
 {
-	const struct metrics_organisation *worst = metrics_worst(core->metrics);
+	const struct metrics_organisation *worst =
+		metrics_worst_organisation(core->metrics);
 
 	if (!worst)
 		return json_null();
