--- a/daemon/role/entry_daemon.c
+++ b/daemon/role/entry_daemon.c
@@ -79,7 +79,7 @@
 static void log_attempt(struct entry_daemon *daemon, const struct relay *relay,
 			const struct effect_start_attempt *start)
 {
-	const char *server = entry_server_at(daemon->entry, start->address);
+	const char *server = entry_server_id_at(daemon->entry, start->address);
 
 	log_line(daemon->role.log, LOG_INFO, "attempt",
 		 "event=sent request=%s attempt=%" PRId64
@@ -150,7 +150,8 @@
 {
 	struct entry_daemon *daemon = data;
 
-	entry_tokens(daemon->entry, tokens, edge_now_us(), &daemon->effects);
+	entry_attempt_tokens(daemon->entry, tokens, edge_now_us(),
+			     &daemon->effects);
 	carry_out_all(daemon);
 }
 
@@ -159,7 +160,8 @@
 	struct entry_daemon *daemon = data;
 	struct relay_node *node;
 
-	entry_ended(daemon->entry, ended, edge_now_us(), &daemon->effects);
+	entry_attempt_ended(daemon->entry, ended, edge_now_us(),
+			    &daemon->effects);
 	carry_out_all(daemon);
 	if (daemon->carrying_out)
 		return;
@@ -173,8 +175,8 @@
 {
 	struct entry_daemon *daemon = data;
 
-	entry_load(daemon->entry, address, answer->running, answer->waiting,
-		   answer->slots, edge_now_us());
+	entry_report_load(daemon->entry, address, answer->running,
+			  answer->waiting, answer->slots, edge_now_us());
 }
 
 static void on_request(void *data, struct http_exchange *exchange)
@@ -288,7 +290,7 @@
 	if (entry_stopping(daemon->entry))
 		return;
 	ev_timer_init(&daemon->close_idle, on_close_idle,
-		      (double)ENTRY_STOP_TAKES_US / 1e6, 0);
+		      (double)ENTRY_STOP_ACCEPT_US / 1e6, 0);
 	daemon->close_idle.data = daemon;
 	ev_timer_start(daemon->role.ev, &daemon->close_idle);
 
@@ -301,7 +303,7 @@
 static void write_histogram(struct bytes *out, const char *name,
 			    const struct entry_histogram *histogram)
 {
-	int64_t bound = ENTRY_BUCKET_FIRST_MS;
+	int64_t bound = ENTRY_FIRST_BUCKET_MS;
 	int64_t below = 0;
 	int i;
 
@@ -315,8 +317,8 @@
 	bytes_append_format(out,
 			    "%s_bucket{le=\"+Inf\"} %" PRId64
 			    "\n%s_count %" PRId64 "\n%s_sum %" PRId64 "\n",
-			    name, histogram->n, name, histogram->n, name,
-			    histogram->sum_ms);
+			    name, histogram->count, name, histogram->count,
+			    name, histogram->sum_ms);
 }
 
 static void write_documents(struct bytes *out,
@@ -327,7 +329,7 @@
 			    "\nfilberthall_documents_received_total %" PRId64
 			    "\nfilberthall_documents_unused_total %" PRId64
 			    "\nfilberthall_document_bytes_total %" PRId64 "\n",
-			    documents->asked, documents->received,
+			    documents->requested, documents->received,
 			    documents->unused, documents->bytes);
 }
 
@@ -349,12 +351,12 @@
 		"\nfilberthall_attempts_total %" PRId64
 		"\nfilberthall_connections_opened_total %" PRId64 "\n",
 		entry_ready(daemon->entry, edge_now_us()), view.version,
-		view.fresh_age_us, view.control_vms, view.servers, view.open,
+		view.staleness_us, view.control_vms, view.servers, view.open,
 		view.submitted, view.refused, view.served, view.failed,
 		view.attempts, http_client_opened(daemon->client));
 	write_documents(out, &view.documents);
-	write_histogram(out, "filberthall_first_ms", &view.first);
-	write_histogram(out, "filberthall_whole_ms", &view.whole);
+	write_histogram(out, "filberthall_first_ms", &view.time_to_first);
+	write_histogram(out, "filberthall_whole_ms", &view.total_time);
 }
 
 static void make_client(struct entry_daemon *daemon)
@@ -417,12 +419,12 @@
 	options.self |= 1;
 	options.vm = boot->vm;
 	options.zone = boot->zone;
-	options.fresh_us = boot->fresh_ms * 1000;
+	options.max_staleness_us = boot->fresh_ms * 1000;
 	options.window_us = boot->window_s * 1000000;
 	options.retry_share = boot->retry_share;
-	options.beat_us = boot->beat_ms * 1000;
+	options.announce_interval_us = boot->beat_ms * 1000;
 	options.retry_window_us = boot->retry_window_s * 1000000;
-	options.retry_headroom = (double)boot->retry_headroom;
+	options.retry_allowance = (double)boot->retry_headroom;
 	options.read_document = role_read_document;
 	options.data = &daemon->role;
 	daemon->entry = entry_new(&options, edge_now_us());
--- a/daemon/role/relay.c
+++ b/daemon/role/relay.c
@@ -278,7 +278,7 @@
 	}
 	relay->stream = call.stream;
 	forward.organisation = call.organisation;
-	forward.server = entry_server_at(host->entry, start->address);
+	forward.server = entry_server_id_at(host->entry, start->address);
 	forward.resume_after = relay->has_event_id ? relay->event_id : NULL;
 	forward.urgency = call.urgency;
 	forward.wait_ms = (call.deadline_us - now_us) / 1000;
--- a/libfilberthall/entry/entry.c
+++ b/libfilberthall/entry/entry.c
@@ -15,14 +15,14 @@
  * Load figures come with answers only. A plain service's request takes some
  * 60 ms, so what a server said before that long has been worked off.
  */
-#define FADE_US INT64_C(100000)
+#define LOAD_DECAY_US INT64_C(100000)
 
 /*
  * How long a stopping VM goes on taking what still comes: the balancer asks
  * once a second, needs two misses, and callers that it has just sent here
  * still connect.
  */
-#define LINGER_US INT64_C(3500000)
+#define STOP_MIN_US INT64_C(3500000)
 
 void entry_log(struct entry *entry, enum log_level level, const char *module,
 	       const char *format, ...)
@@ -59,16 +59,16 @@
 	entry->vm = xstrdup(options->vm);
 	entry->zone = xstrdup(options->zone);
 	entry->rng.state = options->seed;
-	entry->fresh_us = INT64_MIN / 2;
+	entry->fresh_as_of_us = INT64_MIN / 2;
 	entry->polled_us = INT64_MIN / 2;
 	fetch_init(&entry->fetch);
 	fleet_init(&entry->fleet);
-	registry_init(&entry->registry, options->beat_us);
+	registry_init(&entry->registry, options->announce_interval_us);
 	begun_init(&entry->begun);
 	presumed_init(&entry->presumed);
 	map_init(&entry->peers);
 	map_init(&entry->calls);
-	list_init(&entry->parked);
+	list_init(&entry->deferred);
 	list_init(&entry->classes);
 	router.seed = rng_next(&entry->rng);
 	router.self = options->self;
@@ -76,7 +76,7 @@
 	router.fleet = &entry->fleet;
 	router.services_exist = true;
 	router.features = features();
-	router.hooks.finished = entry_finished;
+	router.hooks.finished = entry_request_finished;
 	router.hooks.data = entry;
 	entry->router = router_new(&router);
 	entry->now_us = now_us;
@@ -92,7 +92,7 @@
 		return;
 	router_free(entry->router);
 	entry_free_calls(entry);
-	entry_free_parked(entry);
+	entry_free_deferred(entry);
 	list_foreach_safe(class, next_class, &entry->classes, node)
 		free(class);
 	feed_peers_clear(&entry->peers);
@@ -115,20 +115,20 @@
 static void check_stop(struct entry *entry)
 {
 	int64_t now_us = entry->now_us;
-	bool idle = !entry->calls.count && list_empty(&entry->parked) &&
-		    now_us - entry->stop_us >= LINGER_US;
+	bool idle = !entry->calls.count && list_empty(&entry->deferred) &&
+		    now_us - entry->stop_requested_us >= STOP_MIN_US;
 
-	if (!entry->stop_us || entry->exited ||
-	    (!idle && now_us < entry->stop_by_us))
+	if (!entry->stop_requested_us || entry->exited ||
+	    (!idle && now_us < entry->stop_deadline_us))
 		return;
-	entry_tell_begun(entry);
+	entry_send_usage(entry);
 	entry_log(entry, LOG_INFO, "daemon", "event=exit open=%zu",
 		  entry->calls.count);
 	entry->exited = true;
 	effects_add(entry->effects, EFFECT_EXIT);
 }
 
-static void note_fresh(struct entry *entry)
+static void log_freshness_change(struct entry *entry)
 {
 	bool fresh = entry_is_fresh(entry, entry->now_us);
 
@@ -138,7 +138,7 @@
 	entry_log(entry, fresh ? LOG_INFO : LOG_WARN, "fresh",
 		  "event=%s age_ms=%lld version=%lld control_vms=%zu",
 		  fresh ? "fresh" : "stale",
-		  (long long)((entry->now_us - entry->fresh_us) / 1000),
+		  (long long)((entry->now_us - entry->fresh_as_of_us) / 1000),
 		  (long long)(entry->document ? entry->document->version : 0),
 		  entry->peers.count);
 }
@@ -147,13 +147,13 @@
 {
 	begin(entry, now_us, effects);
 	entry_feed_tick(entry);
-	if (now_us - entry->faded_us >= FADE_US) {
-		entry->faded_us = now_us;
-		fleet_fade(&entry->fleet, FADE_US, now_us);
+	if (now_us - entry->load_decayed_us >= LOAD_DECAY_US) {
+		entry->load_decayed_us = now_us;
+		fleet_fade(&entry->fleet, LOAD_DECAY_US, now_us);
 	}
 	router_tick(entry->router, now_us, effects);
-	note_fresh(entry);
-	entry_unpark(entry);
+	log_freshness_change(entry);
+	entry_resume_deferred(entry);
 	check_stop(entry);
 }
 
@@ -200,31 +200,31 @@
 	if (message->channel == LINK_FEED &&
 	    feed_peer_find(&entry->peers, message->peer))
 		entry_feed_message(entry, message->peer, &message->body);
-	note_fresh(entry);
-	entry_unpark(entry);
+	log_freshness_change(entry);
+	entry_resume_deferred(entry);
 }
 
 void entry_stop(struct entry *entry, int64_t now_us, int64_t grace_us,
 		struct effects *effects)
 {
 	begin(entry, now_us, effects);
-	if (entry->stop_us)
+	if (entry->stop_requested_us)
 		return;
 	entry_log(entry, LOG_INFO, "daemon", "event=stop open=%zu",
 		  entry->calls.count);
-	entry->stop_us = now_us;
-	entry->stop_by_us = now_us + grace_us;
+	entry->stop_requested_us = now_us;
+	entry->stop_deadline_us = now_us + grace_us;
 	check_stop(entry);
 }
 
 bool entry_stopping(const struct entry *entry)
 {
-	return entry->stop_us != 0;
+	return entry->stop_requested_us != 0;
 }
 
 bool entry_ready(const struct entry *entry, int64_t now_us)
 {
-	return !entry->stop_us && entry->document &&
+	return !entry->stop_requested_us && entry->document &&
 	       entry_is_fresh(entry, now_us) && entry->fleet.backends.count > 0;
 }
 
@@ -238,8 +238,9 @@
 	struct entry_view view = entry->totals;
 
 	view.version = entry->document ? entry->document->version : 0;
-	view.fresh_age_us =
-		entry->fresh_us > INT64_MIN / 4 ? now_us - entry->fresh_us : -1;
+	view.staleness_us = entry->fresh_as_of_us > INT64_MIN / 4
+				    ? now_us - entry->fresh_as_of_us
+				    : -1;
 	view.control_vms = (int)entry->peers.count;
 	view.open = (int64_t)entry->calls.count;
 	view.servers = registry_usable(&entry->registry);
--- a/libfilberthall/entry/entry.h
+++ b/libfilberthall/entry/entry.h
@@ -24,12 +24,12 @@
 	uint64_t seed;
 	const char *vm;
 	const char *zone;
-	int64_t fresh_us;      /**< older knowledge of keys isn't acted upon */
-	int64_t window_us;     /**< length of a usage window */
-	double retry_share;    /**< repeats for each request, over all VMs */
-	double retry_headroom; /**< besides, over all VMs and in any window */
+	int64_t max_staleness_us; /**< older knowledge of keys isn't acted upon */
+	int64_t window_us;	  /**< length of a usage window */
+	double retry_share;	  /**< repeats for each request, over all VMs */
+	double retry_allowance; /**< besides, over all VMs and in any window */
 	int64_t retry_window_us;
-	int64_t beat_us; /**< backend servers announce themselves so often */
+	int64_t announce_interval_us; /**< backend servers announce themselves so often */
 	/**
 	 * Read a document; NULL if it can't be. Control VMs have checked it,
 	 * so this fails only if they run another release.
@@ -88,20 +88,22 @@
 		     struct entry_call *out);
 
 /** The start of a backend server that is known at that address, or NULL. */
-const char *entry_server_at(const struct entry *entry, const char *address);
+const char *entry_server_id_at(const struct entry *entry, const char *address);
 
 /** What became of attempts; as the events of core/event.h. */
-void entry_tokens(struct entry *entry,
-		  const struct event_attempt_tokens *tokens, int64_t now_us,
-		  struct effects *effects);
-void entry_ended(struct entry *entry, const struct event_attempt_ended *ended,
-		 int64_t now_us, struct effects *effects);
+void entry_attempt_tokens(struct entry *entry,
+			  const struct event_attempt_tokens *tokens,
+			  int64_t now_us, struct effects *effects);
+void entry_attempt_ended(struct entry *entry,
+			 const struct event_attempt_ended *ended,
+			 int64_t now_us, struct effects *effects);
 void entry_caller_left(struct entry *entry, uint64_t id, int64_t now_us,
 		       struct effects *effects);
 
 /** A backend server's answer said how much it has to do. */
-void entry_load(struct entry *entry, const char *address, int64_t running,
-		int64_t waiting, int64_t slots, int64_t now_us);
+void entry_report_load(struct entry *entry, const char *address,
+		       int64_t running, int64_t waiting, int64_t slots,
+		       int64_t now_us);
 
 /**
  * How long a stopping VM goes on taking what still comes: the balancer asks
@@ -109,7 +111,7 @@
  * time ends before the process does; else it is refused as not run, to be sent
  * elsewhere.
  */
-#define ENTRY_STOP_TAKES_US INT64_C(2800000)
+#define ENTRY_STOP_ACCEPT_US INT64_C(2800000)
 
 /** A planned stop: not ready any more, EXIT once all is answered. */
 void entry_stop(struct entry *entry, int64_t now_us, int64_t grace_us,
@@ -127,16 +129,16 @@
  * 12,800; the last bucket has none.
  */
 #define ENTRY_BUCKETS 11
-#define ENTRY_BUCKET_FIRST_MS 25
+#define ENTRY_FIRST_BUCKET_MS 25
 struct entry_histogram {
 	int64_t buckets[ENTRY_BUCKETS];
-	int64_t n;
+	int64_t count;
 	int64_t sum_ms;
 };
 
 /** Documents asked of control VMs, since the start. */
 struct entry_documents {
-	int64_t asked;
+	int64_t requested;
 	int64_t received;
 	int64_t unused; /**< of those received: not newer than the one held */
 	int64_t bytes;	/**< received, as they travelled */
@@ -144,10 +146,11 @@
 
 /** For metrics and status. */
 struct entry_view {
-	struct entry_histogram first; /**< to the first event or the answer */
-	struct entry_histogram whole; /**< to the end of a success */
+	struct entry_histogram
+		time_to_first; /**< to the first event or the answer */
+	struct entry_histogram total_time; /**< to the end of a success */
 	int64_t version;
-	int64_t fresh_age_us; /**< -1 unknown */
+	int64_t staleness_us; /**< -1 unknown */
 	int control_vms;
 	int servers;
 	int64_t open;
--- a/libfilberthall/entry/entry_feed.c
+++ b/libfilberthall/entry/entry_feed.c
@@ -22,7 +22,7 @@
 #define POLL_STALE_US INT64_C(100000)
 
 /* How often counts of begun requests are told while they change. */
-#define TELL_US INT64_C(100000)
+#define USAGE_SEND_US INT64_C(100000)
 
 /*
  * The registry tells which servers live, and a start is announced to the fleet
@@ -31,10 +31,10 @@
 #define FLEET_LEASE_MS INT64_C(3155760000000)
 
 /* How often silent servers are looked for: thousands are looked through. */
-#define EXPIRE_US INT64_C(250000)
+#define REGISTRY_EXPIRE_US INT64_C(250000)
 
 /* How often starts that have long been gone are looked for. */
-#define FORGET_US INT64_C(1000000)
+#define FLEET_EXPIRE_US INT64_C(1000000)
 
 static void send_all(struct entry *entry, struct bytes *body)
 {
@@ -56,7 +56,7 @@
 	entry->polled_us = entry->now_us;
 }
 
-void entry_tell_begun(struct entry *entry)
+void entry_send_usage(struct entry *entry)
 {
 	struct bytes body = { 0 };
 
@@ -64,18 +64,18 @@
 		return;
 	while (begun_tell(&entry->begun, &body))
 		send_all(entry, &body);
-	entry->told_us = entry->now_us;
+	entry->usage_reported_us = entry->now_us;
 }
 
 static void fetch_document(struct entry *entry, const struct fetch_offer *offer)
 {
 	int64_t held = entry->document ? entry->document->version : 0;
-	struct feed_fetch fetch = { .packed = !entry->plain };
+	struct feed_fetch fetch = { .packed = !entry->uncompressed_only };
 	struct bytes body = { 0 };
 
-	if (!fetch_take_offer(&entry->fetch, offer, held, entry->now_us))
+	if (!fetch_should_request(&entry->fetch, offer, held, entry->now_us))
 		return;
-	entry->totals.documents.asked++;
+	entry->totals.documents.requested++;
 	entry_log(entry, LOG_INFO, "document",
 		  "event=fetch version=%lld held=%lld from=%llx",
 		  (long long)offer->version, (long long)held,
@@ -90,11 +90,11 @@
  * control VM that some of them can't reach counts too few, so the largest
  * figure counts; without any the last one stays.
  */
-static void share_retries(struct entry *entry, uint64_t id, int64_t told)
+static void update_retry_limit(struct entry *entry, uint64_t id, int64_t told)
 {
 	struct feed_peer *peer = feed_peer_find(&entry->peers, id);
 	struct retry_limit limit = { entry->options.retry_share,
-				     entry->options.retry_headroom,
+				     entry->options.retry_allowance,
 				     entry->options.retry_window_us, 0 };
 	struct feed_peer *next;
 	int64_t most = 0;
@@ -104,12 +104,12 @@
 	map_foreach(peer, next, &entry->peers, node)
 		if (peer->entries > most)
 			most = peer->entries;
-	if (most == entry->entries || !most)
+	if (most == entry->entry_vms || !most)
 		return;
 	entry_log(entry, LOG_INFO, "retry",
 		  "event=shared entry_vms=%lld before=%lld", (long long)most,
-		  (long long)entry->entries);
-	entry->entries = most;
+		  (long long)entry->entry_vms);
+	entry->entry_vms = most;
 	limit.vms = (int)most;
 	router_limit_retries(entry->router, &limit);
 }
@@ -123,7 +123,7 @@
 
 	if (state->wall_us)
 		wall_note(&entry->wall, peer, state->wall_us, entry->now_us);
-	share_retries(entry, peer, state->entries);
+	update_retry_limit(entry, peer, state->entries);
 	fetch_document(entry, &offer);
 	/*
 	 * Counted from when we asked: what was withdrawn before the answer
@@ -131,12 +131,12 @@
 	 * on its way must not look fresh.
 	 */
 	if (state->echo_us && state->age_us >= 0 && state->version <= held &&
-	    state->echo_us <= entry->now_us && fresh_us > entry->fresh_us)
-		entry->fresh_us = fresh_us;
+	    state->echo_us <= entry->now_us && fresh_us > entry->fresh_as_of_us)
+		entry->fresh_as_of_us = fresh_us;
 }
 
-static void note_received(struct entry *entry, uint64_t peer,
-			  const struct feed_document *told, int64_t held)
+static void record_received(struct entry *entry, uint64_t peer,
+			    const struct feed_document *told, int64_t held)
 {
 	struct entry_documents *documents = &entry->totals.documents;
 	bool used = told->version > held;
@@ -168,13 +168,13 @@
 	return document;
 }
 
-static void take_document(struct entry *entry, uint64_t peer,
-			  const struct feed_document *told)
+static void handle_document(struct entry *entry, uint64_t peer,
+			    const struct feed_document *told)
 {
 	int64_t held = entry->document ? entry->document->version : 0;
 	struct document *document;
 
-	note_received(entry, peer, told, held);
+	record_received(entry, peer, told, held);
 	if (told->version <= held)
 		return;
 	document = read_document(entry, told);
@@ -183,7 +183,7 @@
 			  "event=unreadable version=%lld bytes=%zu packed=%d",
 			  (long long)told->version, told->len,
 			  told->unpacked != 0);
-		entry->plain |= told->unpacked != 0;
+		entry->uncompressed_only |= told->unpacked != 0;
 		return;
 	}
 	document_free(entry->document);
@@ -197,7 +197,7 @@
 	entry_poll(entry);
 }
 
-static void take_member(struct entry *entry, const struct feed_member *member)
+static void handle_member(struct entry *entry, const struct feed_member *member)
 {
 	struct effect *effect;
 
@@ -217,7 +217,7 @@
 	struct event_announce announce = {
 		.address = (char *)told->address,
 		.boot_id = boot_id,
-		.sequence = ++entry->announced,
+		.sequence = ++entry->announce_sequence,
 		.zone = (char *)told->zone,
 		.service = (char *)told->service,
 		.lease_ms = FLEET_LEASE_MS,
@@ -254,8 +254,8 @@
 		  (long long)((entry->now_us - registered->heard_us) / 1000));
 }
 
-static void take_registration(struct entry *entry,
-			      const struct feed_message *message)
+static void handle_registration(struct entry *entry,
+				const struct feed_message *message)
 {
 	const struct registration *told = &message->u.registration;
 	struct registered *replaced;
@@ -269,8 +269,8 @@
 		publish(entry, registry_find(&entry->registry, told->id));
 }
 
-static void heard_alive(struct entry *entry, const char *id, int64_t born_ms,
-			int64_t heard_us)
+static void mark_alive(struct entry *entry, const char *id, int64_t born_ms,
+		       int64_t heard_us)
 {
 	struct registered *known = registry_find(&entry->registry, id);
 	bool was_silent = known && known->silent;
@@ -280,19 +280,20 @@
 		publish(entry, known);
 }
 
-static void take_alive(struct entry *entry, const struct feed_message *message)
+static void handle_alive(struct entry *entry,
+			 const struct feed_message *message)
 {
 	size_t i;
 
 	for (i = 0; i < message->n_alive; i++) {
 		const struct feed_alive *alive = &message->alive[i];
 
-		heard_alive(entry, alive->id, alive->born_ms,
-			    entry->now_us - alive->age_us);
+		mark_alive(entry, alive->id, alive->born_ms,
+			   entry->now_us - alive->age_us);
 	}
 }
 
-static void take_marks(struct entry *entry, const struct feed_marks *marks)
+static void handle_marks(struct entry *entry, const struct feed_marks *marks)
 {
 	int64_t heard_us = entry->now_us - marks->age_us;
 	struct registered *known;
@@ -303,12 +304,12 @@
 		known = registry_find_mark(&entry->registry,
 					   feed_mark_at(marks, i));
 		if (known)
-			heard_alive(entry, known->told.id, known->told.born_ms,
-				    heard_us);
+			mark_alive(entry, known->told.id, known->told.born_ms,
+				   heard_us);
 	}
 }
 
-static void take_bundle(struct entry *entry, const struct feed_bundle *bundle)
+static void handle_bundle(struct entry *entry, const struct feed_bundle *bundle)
 {
 	struct bytes list = { 0 };
 	struct feed_message message;
@@ -325,7 +326,7 @@
 			break;
 		message.age_us += bundle->age_us;
 		if (message.kind == FEED_REGISTRATION)
-			take_registration(entry, &message);
+			handle_registration(entry, &message);
 		feed_clear(&message);
 	}
 	if (len || list.len != bundle->unpacked)
@@ -351,22 +352,22 @@
 		take_state(entry, peer, &message.u.state);
 		break;
 	case FEED_DOCUMENT:
-		take_document(entry, peer, &message.u.document);
+		handle_document(entry, peer, &message.u.document);
 		break;
 	case FEED_MEMBER:
-		take_member(entry, &message.u.member);
+		handle_member(entry, &message.u.member);
 		break;
 	case FEED_REGISTRATION:
-		take_registration(entry, &message);
+		handle_registration(entry, &message);
 		break;
 	case FEED_ALIVE:
-		take_alive(entry, &message);
+		handle_alive(entry, &message);
 		break;
 	case FEED_MARKS:
-		take_marks(entry, &message.u.marks);
+		handle_marks(entry, &message.u.marks);
 		break;
 	case FEED_BUNDLE:
-		take_bundle(entry, &message.u.bundle);
+		handle_bundle(entry, &message.u.bundle);
 		break;
 	case FEED_POLL:
 	case FEED_FETCH:
@@ -379,17 +380,18 @@
 	feed_clear(&message);
 }
 
-static void now_silent(void *data, struct registered *registered)
+static void on_server_expired(void *data, struct registered *registered)
 {
 	publish(data, registered);
 }
 
-static void expire_servers(struct entry *entry)
+static void expire_registry(struct entry *entry)
 {
-	if (entry->now_us - entry->expired_us < EXPIRE_US)
+	if (entry->now_us - entry->registry_expired_us < REGISTRY_EXPIRE_US)
 		return;
-	registry_expire(&entry->registry, entry->now_us, now_silent, entry);
-	entry->expired_us = entry->now_us;
+	registry_expire(&entry->registry, entry->now_us, on_server_expired,
+			entry);
+	entry->registry_expired_us = entry->now_us;
 }
 
 void entry_feed_tick(struct entry *entry)
@@ -398,17 +400,17 @@
 
 	if (entry->now_us - entry->polled_us >= poll_us)
 		entry_poll(entry);
-	entry_count_presumed(entry);
-	if (entry->now_us - entry->told_us >= TELL_US)
-		entry_tell_begun(entry);
-	expire_servers(entry);
-	if (entry->now_us - entry->forgot_us < FORGET_US)
+	entry_resolve_presumed(entry);
+	if (entry->now_us - entry->usage_reported_us >= USAGE_SEND_US)
+		entry_send_usage(entry);
+	expire_registry(entry);
+	if (entry->now_us - entry->fleet_expired_us < FLEET_EXPIRE_US)
 		return;
 	fleet_expire(&entry->fleet, entry->now_us, NULL, NULL);
-	entry->forgot_us = entry->now_us;
+	entry->fleet_expired_us = entry->now_us;
 }
 
-const char *entry_server_at(const struct entry *entry, const char *address)
+const char *entry_server_id_at(const struct entry *entry, const char *address)
 {
 	const struct registered *registered =
 		registry_at(&entry->registry, address);
--- a/libfilberthall/entry/entry_request.c
+++ b/libfilberthall/entry/entry_request.c
@@ -14,7 +14,7 @@
 #define DEADLINE_MS 30000
 
 /* Another VM takes it at once; callers of this one mustn't come as a crowd. */
-#define STOPPING_RETRY_MS 50
+#define STOPPING_RETRY_AFTER_MS 50
 
 /* Left between the end of the last request and that of a stopping process. */
 #define STOP_MARGIN_US INT64_C(500000)
@@ -23,7 +23,7 @@
  * Classes that the router keeps at once; it has room for 256. Each document
  * may bring new ones, and those that are in no use any more must go.
  */
-#define CLASSES_MOST 240
+#define CLASSES_MAX 240
 
 /*
  * Ranks of organisations that a server tells apart among requests of one kind.
@@ -32,7 +32,7 @@
 
 bool entry_is_fresh(const struct entry *entry, int64_t now_us)
 {
-	return now_us - entry->fresh_us < entry->options.fresh_us;
+	return now_us - entry->fresh_as_of_us < entry->options.max_staleness_us;
 }
 
 static bool call_match(const struct map_node *node, const void *key)
@@ -102,11 +102,11 @@
 		  request->name, result_name(code), request->host,
 		  request->path,
 		  (long long)(entry->document ? entry->document->version : 0),
-		  (long long)((entry->now_us - entry->fresh_us) / 1000),
+		  (long long)((entry->now_us - entry->fresh_as_of_us) / 1000),
 		  (long long)retry_after_ms);
 }
 
-static void class_forget_oldest(struct entry *entry)
+static void remove_oldest_class(struct entry *entry)
 {
 	struct entry_class *oldest =
 		list_first(&entry->classes, struct entry_class, node);
@@ -122,8 +122,8 @@
  * The router's class for a tier and its targets. Routes with the same ones
  * share it: a document may have hundreds of routes.
  */
-static const struct class_rule *class_of(struct entry *entry,
-					 const struct route *route, int tier)
+static const struct class_rule *
+find_or_add_class(struct entry *entry, const struct route *route, int tier)
 {
 	struct class_rule rule = { .tier = tier };
 	struct entry_class *class;
@@ -140,8 +140,8 @@
 		list_append(&entry->classes, &class->node);
 		return &class->rule;
 	}
-	if (entry->n_classes == CLASSES_MOST)
-		class_forget_oldest(entry);
+	if (entry->n_classes == CLASSES_MAX)
+		remove_oldest_class(entry);
 	class = xcalloc(1, sizeof(*class));
 	class->rule = rule;
 	list_append(&entry->classes, &class->node);
@@ -183,8 +183,8 @@
 }
 
 /* How long the caller waits, and the route lets it wait, at most. */
-static int64_t wait_of_us(const struct entry_request *request,
-			  const struct route *route)
+static int64_t wait_limit_us(const struct entry_request *request,
+			     const struct route *route)
 {
 	int64_t wait_ms = route->timeout_ms;
 
@@ -201,15 +201,16 @@
  * before this process does is in no danger here, and was refused again and
  * again until its caller gave up.
  */
-static bool stops_too_soon(const struct entry *entry,
-			   const struct entry_request *request,
-			   const struct route *route)
+static bool exceeds_stop_deadline(const struct entry *entry,
+				  const struct entry_request *request,
+				  const struct route *route)
 {
-	int64_t ends_us = entry->now_us + wait_of_us(request, route);
+	int64_t ends_us = entry->now_us + wait_limit_us(request, route);
 
-	return entry->stop_us &&
-	       entry->now_us - entry->stop_us >= ENTRY_STOP_TAKES_US &&
-	       ends_us + STOP_MARGIN_US > entry->stop_by_us;
+	return entry->stop_requested_us &&
+	       entry->now_us - entry->stop_requested_us >=
+		       ENTRY_STOP_ACCEPT_US &&
+	       ends_us + STOP_MARGIN_US > entry->stop_deadline_us;
 }
 
 static struct open_call *call_new(struct entry *entry,
@@ -227,7 +228,7 @@
 	call->tier = call_tier(route, holder);
 	call->urgency = call_urgency(route, holder);
 	call->arrived_us = entry->now_us;
-	call->deadline_us = entry->now_us + wait_of_us(request, route);
+	call->deadline_us = entry->now_us + wait_limit_us(request, route);
 	map_insert(&entry->calls, &call->node,
 		   map_hash(&call->id, sizeof(call->id)));
 	return call;
@@ -240,7 +241,8 @@
 {
 	struct open_call *call = call_new(entry, request, route, holder);
 	const char *service = route_choose(route, rng_unit(&entry->rng));
-	const struct class_rule *rule = class_of(entry, route, call->tier);
+	const struct class_rule *rule =
+		find_or_add_class(entry, route, call->tier);
 	struct router_request ask = {
 		.id = request->id,
 		.organisation = call->organisation,
@@ -269,7 +271,7 @@
 		  "wait_ms=%lld",
 		  request->name, route->name, service, call->organisation,
 		  call->tier, (long long)entry->document->version,
-		  (long long)((entry->now_us - entry->fresh_us) / 1000),
+		  (long long)((entry->now_us - entry->fresh_as_of_us) / 1000),
 		  (long long)request->prompt_tokens,
 		  (long long)request->output_tokens,
 		  (long long)((call->deadline_us - entry->now_us) / 1000));
@@ -288,9 +290,9 @@
 		entry_refuse(entry, request, RESULT_NO_ROUTE, 0);
 		return;
 	}
-	if (stops_too_soon(entry, request, route)) {
+	if (exceeds_stop_deadline(entry, request, route)) {
 		entry_refuse(entry, request, RESULT_STOPPING,
-			     STOPPING_RETRY_MS);
+			     STOPPING_RETRY_AFTER_MS);
 		return;
 	}
 	if (document->n_organisations && !route->open) {
@@ -323,45 +325,45 @@
 	entry->effects = effects;
 	if (entry_can_decide(entry))
 		entry_decide(entry, request);
-	else if (!entry_park(entry, request))
+	else if (!entry_defer(entry, request))
 		entry_refuse(entry, request, RESULT_STALE,
-			     ENTRY_STALE_RETRY_MS);
+			     ENTRY_STALE_RETRY_AFTER_MS);
 }
 
 static void histogram_add(struct entry_histogram *histogram, int64_t ms)
 {
-	int64_t bound = ENTRY_BUCKET_FIRST_MS;
+	int64_t bound = ENTRY_FIRST_BUCKET_MS;
 	int i;
 
 	for (i = 0; i < ENTRY_BUCKETS - 1 && ms > bound; i++)
 		bound *= 2;
 	histogram->buckets[i]++;
-	histogram->n++;
+	histogram->count++;
 	histogram->sum_ms += ms;
 }
 
-static void note_times(struct entry *entry,
-		       const struct router_outcome *outcome)
+static void record_latency(struct entry *entry,
+			   const struct router_outcome *outcome)
 {
 	int64_t first_us = outcome->first_token_us ? outcome->first_token_us
 						   : outcome->ended_us;
 
 	if (outcome->code)
 		return;
-	histogram_add(&entry->totals.first,
+	histogram_add(&entry->totals.time_to_first,
 		      (first_us - outcome->arrived_us) / 1000);
-	histogram_add(&entry->totals.whole,
+	histogram_add(&entry->totals.total_time,
 		      (outcome->ended_us - outcome->arrived_us) / 1000);
 }
 
-void entry_finished(void *data, const struct router_outcome *outcome)
+void entry_request_finished(void *data, const struct router_outcome *outcome)
 {
 	struct entry *entry = data;
 	struct open_call *call = call_find(entry, outcome->id);
 
 	if (!call)
 		return;
-	note_times(entry, outcome);
+	record_latency(entry, outcome);
 	if (outcome->code == RESULT_OK)
 		entry->totals.served++;
 	else if (outcome->run == RUN_NOT)
@@ -389,22 +391,22 @@
 }
 
 /* A request counts once, in the window in which it began. */
-static void count_begun(struct entry *entry, uint64_t id)
+static void count_started(struct entry *entry, uint64_t id)
 {
 	struct open_call *call = call_find(entry, id);
 	int64_t wall_us = wall_time_us(&entry->wall, entry->now_us);
 
-	if (!call || call->begun || !call->organisation[0] || !wall_us)
+	if (!call || call->usage_counted || !call->organisation[0] || !wall_us)
 		return;
-	call->begun = true;
+	call->usage_counted = true;
 	presumed_drop(&entry->presumed, id);
 	begun_add(&entry->begun, wall_us / entry->options.window_us,
 		  call->organisation);
 }
 
 /* Its server broke off without an answer: did it run? */
-static void presume_begun(struct entry *entry,
-			  const struct event_attempt_ended *ended)
+static void add_presumed(struct entry *entry,
+			 const struct event_attempt_ended *ended)
 {
 	const struct open_call *call = call_find(entry, ended->id);
 	int64_t wall_us = wall_time_us(&entry->wall, entry->now_us);
@@ -412,7 +414,8 @@
 	const struct registered *server = NULL;
 	struct router_attempt_view attempt;
 
-	if (!call || call->begun || !call->organisation[0] || !wall_us ||
+	if (!call || call->usage_counted || !call->organisation[0] ||
+	    !wall_us ||
 	    !router_attempt(entry->router, ended->id, ended->attempt,
 			    entry->now_us, &attempt) ||
 	    !presumed_possible((enum result)ended->code, ended->sent,
@@ -434,29 +437,30 @@
 	struct open_call *call = call_find(entry, request);
 
 	if (call)
-		call->begun = true;
+		call->usage_counted = true;
 	begun_add(&entry->begun, window, organisation);
 }
 
-void entry_count_presumed(struct entry *entry)
+void entry_resolve_presumed(struct entry *entry)
 {
 	presumed_tick(&entry->presumed, &entry->registry, entry->now_us,
 		      count_presumed, entry);
 }
 
-void entry_tokens(struct entry *entry,
-		  const struct event_attempt_tokens *tokens, int64_t now_us,
-		  struct effects *effects)
+void entry_attempt_tokens(struct entry *entry,
+			  const struct event_attempt_tokens *tokens,
+			  int64_t now_us, struct effects *effects)
 {
 	entry->now_us = now_us;
 	entry->effects = effects;
 	if (tokens->first)
-		count_begun(entry, tokens->id);
+		count_started(entry, tokens->id);
 	router_tokens(entry->router, tokens, now_us, effects);
 }
 
-void entry_ended(struct entry *entry, const struct event_attempt_ended *ended,
-		 int64_t now_us, struct effects *effects)
+void entry_attempt_ended(struct entry *entry,
+			 const struct event_attempt_ended *ended,
+			 int64_t now_us, struct effects *effects)
 {
 	const struct open_call *call = call_find(entry, ended->id);
 
@@ -464,9 +468,9 @@
 	entry->effects = effects;
 	entry->totals.attempts++;
 	if (ended->http_status && ended->sent)
-		count_begun(entry, ended->id);
+		count_started(entry, ended->id);
 	else
-		presume_begun(entry, ended);
+		add_presumed(entry, ended);
 	if (call && ended->code)
 		entry_log(entry, LOG_INFO, "attempt",
 			  "event=failed request=%s attempt=%lld code=%s "
@@ -483,12 +487,13 @@
 {
 	entry->now_us = now_us;
 	entry->effects = effects;
-	if (!entry_drop_parked(entry, id))
+	if (!entry_drop_deferred(entry, id))
 		router_caller_left(entry->router, id, now_us, effects);
 }
 
-void entry_load(struct entry *entry, const char *address, int64_t running,
-		int64_t waiting, int64_t slots, int64_t now_us)
+void entry_report_load(struct entry *entry, const char *address,
+		       int64_t running, int64_t waiting, int64_t slots,
+		       int64_t now_us)
 {
 	struct backend *backend = fleet_find(&entry->fleet, address);
 
--- a/libfilberthall/entry/entry_state.h
+++ b/libfilberthall/entry/entry_state.h
@@ -15,7 +15,7 @@
 /** What the files entry*.c share; nobody else includes this. */
 
 /** When callers of a VM that is out of touch should come back: two polls. */
-#define ENTRY_STALE_RETRY_MS 1000
+#define ENTRY_STALE_RETRY_AFTER_MS 1000
 
 /** A request from its submission to its answer. */
 struct open_call {
@@ -27,7 +27,7 @@
 	char *service;
 	bool stream;
 	bool resumable;
-	bool begun;
+	bool usage_counted;
 	int tier;
 	int urgency; /**< for the server; 0 is the most urgent */
 	int64_t arrived_us;
@@ -35,11 +35,11 @@
 };
 
 /** A request that waits until this VM is fresh. Text is owned. */
-struct parked_request {
+struct deferred_request {
 	struct list node;
-	struct entry_request ask;
-	int64_t since_us;
-	int64_t until_us; /**< refused then */
+	struct entry_request request;
+	int64_t deferred_us;
+	int64_t expires_us; /**< refused then */
 };
 
 /** A class that the router was told of. */
@@ -62,22 +62,22 @@
 	struct wall wall;
 	struct map peers; /**< struct feed_peer: control VMs */
 	struct map calls;
-	struct list parked; /**< oldest first */
+	struct list deferred; /**< oldest first */
 	struct list classes;
 	int n_classes;
-	int64_t entries;   /**< entry VMs that share the retry limit */
-	int64_t announced; /**< counter of what the fleet is told */
-	int64_t fresh_us;  /**< keys are known as of this moment */
+	int64_t entry_vms;	   /**< entry VMs that share the retry limit */
+	int64_t announce_sequence; /**< counter of what the fleet is told */
+	int64_t fresh_as_of_us;	   /**< keys are known as of this moment */
 	bool was_fresh;
 	int64_t polled_us;
-	int64_t faded_us;   /* when load figures were last faded */
-	int64_t expired_us; /* when silent servers were last looked for */
-	int64_t forgot_us;  /* when dead starts were last looked for */
-	int64_t told_us;    /**< when counts were last told */
-	struct fetch fetch; /**< of the document */
-	bool plain;	    /**< a packed one couldn't be read */
-	int64_t stop_us;    /**< when the stop was asked for, 0 if not */
-	int64_t stop_by_us;
+	int64_t load_decayed_us;     /* when load figures were last faded */
+	int64_t registry_expired_us; /* when silent servers were last looked for */
+	int64_t fleet_expired_us;    /* when dead starts were last looked for */
+	int64_t usage_reported_us; /**< when counts were last told */
+	struct fetch fetch;	   /**< of the document */
+	bool uncompressed_only;	   /**< a packed one couldn't be read */
+	int64_t stop_requested_us; /**< when the stop was asked for, 0 if not */
+	int64_t stop_deadline_us;
 	bool exited;
 	struct entry_view totals;
 	struct effects *effects; /**< of the call that runs */
@@ -93,15 +93,15 @@
 			const struct bytes *body);
 void entry_feed_tick(struct entry *entry);
 void entry_poll(struct entry *entry);
-void entry_tell_begun(struct entry *entry);
-void entry_count_presumed(struct entry *entry);
+void entry_send_usage(struct entry *entry);
+void entry_resolve_presumed(struct entry *entry);
 
 /* entry_request.c */
-void entry_finished(void *data, const struct router_outcome *outcome);
-void entry_unpark(struct entry *entry);
-bool entry_drop_parked(struct entry *entry, uint64_t id);
-void entry_free_parked(struct entry *entry);
-bool entry_park(struct entry *entry, const struct entry_request *request);
+void entry_request_finished(void *data, const struct router_outcome *outcome);
+void entry_resume_deferred(struct entry *entry);
+bool entry_drop_deferred(struct entry *entry, uint64_t id);
+void entry_free_deferred(struct entry *entry);
+bool entry_defer(struct entry *entry, const struct entry_request *request);
 void entry_decide(struct entry *entry, const struct entry_request *request);
 void entry_refuse(struct entry *entry, const struct entry_request *request,
 		  enum result code, int64_t retry_after_ms);
--- a/libfilberthall/entry/fetch.c
+++ b/libfilberthall/entry/fetch.c
@@ -36,8 +36,8 @@
 	fetch->asked_us = now_us;
 }
 
-bool fetch_take_offer(struct fetch *fetch, const struct fetch_offer *offer,
-		      int64_t held, int64_t now_us)
+bool fetch_should_request(struct fetch *fetch, const struct fetch_offer *offer,
+			  int64_t held, int64_t now_us)
 {
 	if (offer->version <= held)
 		return false;
--- a/libfilberthall/entry/fetch.h
+++ b/libfilberthall/entry/fetch.h
@@ -29,8 +29,8 @@
  * Whether to ask the one that made the offer now; it counts as asked then.
  * `held` is the version in force.
  */
-bool fetch_take_offer(struct fetch *fetch, const struct fetch_offer *offer,
-		      int64_t held, int64_t now_us);
+bool fetch_should_request(struct fetch *fetch, const struct fetch_offer *offer,
+			  int64_t held, int64_t now_us);
 
 /** A document newer than the one that was held is here. */
 void fetch_done(struct fetch *fetch);
--- a/tests/entry/bed.c
+++ b/tests/entry/bed.c
@@ -278,10 +278,10 @@
 					 .seed = 1,
 					 .vm = "entry-1",
 					 .zone = "z1",
-					 .fresh_us = 4500000,
+					 .max_staleness_us = 4500000,
 					 .window_us = 5 * SECOND,
 					 .retry_share = 0.2,
-					 .retry_headroom = 54,
+					 .retry_allowance = 54,
 					 .retry_window_us = 10 * SECOND,
 					 .read_document = read_document };
 	struct event_link_up up = { CONTROL, (char *)"control-1", (char *)"z1",
@@ -336,7 +336,7 @@
 					     .http_status = status,
 					     .sent = sent };
 
-	entry_ended(bed->entry, &ended, bed->now_us, &bed->effects);
+	entry_attempt_ended(bed->entry, &ended, bed->now_us, &bed->effects);
 	look(bed);
 }
 
--- a/tests/entry/slow_link.c
+++ b/tests/entry/slow_link.c
@@ -254,7 +254,7 @@
 					 .seed = 1,
 					 .vm = "entry-1",
 					 .zone = "z1",
-					 .fresh_us = 4500000,
+					 .max_staleness_us = 4500000,
 					 .window_us = 5000000,
 					 .retry_window_us = 10000000,
 					 .read_document = read_document };
--- a/tests/entry/t-entry-feed.c
+++ b/tests/entry/t-entry-feed.c
@@ -14,7 +14,7 @@
 	bed_hear_document(&bed, 2, "k1");
 	bed_hear_document(&bed, 2, "k1");
 	documents = entry_view(bed.entry, bed.now_us).documents;
-	g_assert_cmpint(documents.asked, ==, 2);
+	g_assert_cmpint(documents.requested, ==, 2);
 	g_assert_cmpint(documents.received, ==, 3);
 	g_assert_cmpint(documents.unused, ==, 1);
 	g_assert_cmpint(documents.bytes, ==, 3 * strlen("1 k1"));
--- a/tests/entry/t-entry.c
+++ b/tests/entry/t-entry.c
@@ -227,7 +227,7 @@
 
 	bed_start(&bed);
 	id = bed_ask(&bed, "/lodge/7", "k1");
-	entry_load(bed.entry, ENGINE, 2, 20, 2, bed.now_us);
+	entry_report_load(bed.entry, ENGINE, 2, 20, 2, bed.now_us);
 	bed_end_attempt(&bed, id, RESULT_OK, 200, true);
 	id = bed_ask(&bed, "/lodge/8", "k1");
 	g_assert_cmpuint(bed.started, !=, id);
