--- a/libfilberthall/entry/entry.c
+++ b/libfilberthall/entry/entry.c
@@ -8,18 +8,19 @@
 #include "base/alloc.h"
 #include "entry/entry_state.h"
 
-/* Counts, polls and waiting requests are looked at so often. */
+/* Interval of the checks for counts, polls and deferred requests. */
 #define TICK_US INT64_C(50000)
 
 /*
- * Load figures come with answers only. A plain service's request takes some
- * 60 ms, so what a server said before that long has been worked off.
+ * Interval at which load figures are decayed. They arrive only with answers. A
+ * request to a plain service takes about 60 ms, so work that a server reported
+ * before that has been completed.
  */
 #define LOAD_DECAY_US INT64_C(100000)
 
 /*
- * How long a stopping VM goes on taking what still comes: the balancer asks
- * once a second, needs two misses, and callers that it has just sent here
+ * A stopping VM runs at least this long: the balancer probes once a second,
+ * removes a VM after two failed probes, and callers that it has just sent here
  * still connect.
  */
 #define STOP_MIN_US INT64_C(3500000)
@@ -35,9 +36,9 @@
 }
 
 /*
- * Shares need links between entry VMs; without them servers' own figures
- * bound what each VM sends. Hedging and preemption send a request twice, which
- * the budget shared by all VMs has no room for.
+ * Capacity shares need links between entry VMs; without them the figures that
+ * servers report limit what each VM sends. Hedging and preemption send a
+ * request twice, for which the retry budget shared by all VMs has no room.
  */
 static struct router_features features(void)
 {
--- a/libfilberthall/entry/entry_park.c
+++ b/libfilberthall/entry/entry_defer.c
@@ -1,23 +1,27 @@
 /*
- * Requests that came while this VM couldn't tell what is in force: they wait a
- * moment for that.
+ * Requests that arrive while this VM's state is stale are deferred until it is
+ * fresh again.
  *
- * Load pattern: all VMs lose power and are back within a second, and a leader
- * is there a second later. A caller that is sent away comes back once, so in
- * those seconds most were lost that could have been served a little late.
+ * Load pattern: all VMs lose power and restart within a second, and a leader is
+ * elected a second later. A caller that is refused retries once, so most
+ * requests of those seconds were lost, although they could have been served a
+ * little later.
  */
 #include <stdlib.h>
 
 #include "base/alloc.h"
 #include "entry/entry_state.h"
 
-/* How long a request waits at most: a leader is there within 1.5 s. */
+/* Longest time a request is deferred: a leader is elected within 1.5 s. */
 #define DEFER_MAX_US INT64_C(1500000)
 
-/* The part of its own time that it waits at most: what is left must serve. */
+/*
+ * A request is deferred for at most this fraction of its deadline, so that the
+ * rest is enough to serve it.
+ */
 #define DEFER_DEADLINE_DIVISOR 3
 
-/* Requests that may wait so; each holds a body of some kilobytes. */
+/* Limit of deferred requests; each holds a body of a few kilobytes. */
 #define DEFERRED_MAX 500
 
 static void deferred_free(struct deferred_request *parked)
@@ -51,7 +55,7 @@
 	return n < DEFERRED_MAX && !entry->stop_requested_us;
 }
 
-/** Let a request wait; false if it may not. */
+/** Defers a request; false if it must be refused. */
 bool entry_defer(struct entry *entry, const struct entry_request *request)
 {
 	int64_t wait_us = request->deadline_ms * 1000 / DEFER_DEADLINE_DIVISOR;
@@ -75,7 +79,9 @@
 	return true;
 }
 
-/* What waited is decided on now; its time ran meanwhile. */
+/*
+ * Decides on a deferred request; its deadline is reduced by the time it waited.
+ */
 static void resume_one(struct entry *entry, struct deferred_request *parked)
 {
 	int64_t waited_ms = (entry->now_us - parked->deferred_us) / 1000;
@@ -92,7 +98,7 @@
 	deferred_free(parked);
 }
 
-/** Decide on what waited, or refuse what has waited too long. */
+/** Decides on deferred requests, or refuses those that have expired. */
 void entry_resume_deferred(struct entry *entry)
 {
 	struct deferred_request *parked;
@@ -112,7 +118,7 @@
 	}
 }
 
-/** The caller has left; false if its request isn't one that waits. */
+/** Drops the request of a caller that left; false if it isn't deferred. */
 bool entry_drop_deferred(struct entry *entry, uint64_t id)
 {
 	struct deferred_request *parked;
--- a/libfilberthall/entry/entry_feed.c
+++ b/libfilberthall/entry/entry_feed.c
@@ -1,6 +1,6 @@
 /*
- * What the control VMs tell: the document, how fresh it is, and the backend
- * servers, which become the router's fleet.
+ * Handles messages from control VMs: the document, its freshness, and the
+ * registrations of backend servers, from which the router's fleet is updated.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,28 +12,28 @@
 #include "entry/entry_state.h"
 
 /*
- * How often each control VM is asked. A key must be dead five seconds after
- * it was withdrawn; with an answer twice a second several may be lost before
- * this VM has to stop serving.
+ * Poll interval of each control VM. A key must be rejected five seconds after
+ * it was withdrawn; with an answer every 400 ms several may be lost before this
+ * VM has to stop serving.
  */
 #define POLL_US INT64_C(400000)
 
-/* How often while this VM is out of touch: requests wait for the answer. */
+/* Poll interval while requests are deferred until an answer arrives. */
 #define POLL_STALE_US INT64_C(100000)
 
-/* How often counts of begun requests are told while they change. */
+/* Interval at which counts of started requests are sent while they change. */
 #define USAGE_SEND_US INT64_C(100000)
 
 /*
- * The registry tells which servers live, and a start is announced to the fleet
- * once, so its lease there must outlast any server.
+ * The registry decides which servers are alive, and each start is announced to
+ * the fleet once, so its lease there must be longer than any server runs.
  */
 #define FLEET_LEASE_MS INT64_C(3155760000000)
 
-/* How often silent servers are looked for: thousands are looked through. */
+/* Interval of registry_expire(), which visits thousands of servers. */
 #define REGISTRY_EXPIRE_US INT64_C(250000)
 
-/* How often starts that have long been gone are looked for. */
+/* Interval of fleet_expire(), which removes servers that left long ago. */
 #define FLEET_EXPIRE_US INT64_C(1000000)
 
 static void send_all(struct entry *entry, struct bytes *body)
@@ -86,9 +86,9 @@
 }
 
 /*
- * Repeats are limited over all entry VMs, and each keeps to its part. A
- * control VM that some of them can't reach counts too few, so the largest
- * figure counts; without any the last one stays.
+ * The retry limit holds for all entry VMs together, and each uses an equal
+ * part. A control VM without a link to some of them reports too low a number,
+ * so the largest one counts; without any report the last one is kept.
  */
 static void update_retry_limit(struct entry *entry, uint64_t id, int64_t told)
 {
@@ -126,9 +126,9 @@
 	update_retry_limit(entry, peer, state->entries);
 	fetch_document(entry, &offer);
 	/*
-	 * Counted from when we asked: what was withdrawn before the answer
-	 * was made is known, what came later isn't. An answer that took long
-	 * on its way must not look fresh.
+	 * Counted from when the poll was sent: a withdrawal before the answer
+	 * was made is known, a later one isn't. An answer that was delayed in
+	 * transit must not appear fresh.
 	 */
 	if (state->echo_us && state->age_us >= 0 && state->version <= held &&
 	    state->echo_us <= entry->now_us && fresh_us > entry->fresh_as_of_us)
@@ -230,7 +230,7 @@
 	fleet_drain(&entry->fleet, told->address, false);
 }
 
-/* Bring the router's fleet in line with one registration. */
+/* Updates the router's fleet from one registration. */
 static void publish(struct entry *entry, const struct registered *registered)
 {
 	const struct registration *told = &registered->told;
--- a/libfilberthall/entry/entry_request.c
+++ b/libfilberthall/entry/entry_request.c
@@ -1,6 +1,6 @@
 /*
- * Callers' requests: who may run what, by the document in force; the rest is
- * the router's to decide.
+ * Callers' requests: checks routes and keys against the document in force and
+ * submits permitted requests to the router.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,24 +10,25 @@
 #include "entry/entry_state.h"
 #include "load/sched.h"
 
-/* Where neither the caller nor the route says how long it may take. */
+/* Deadline of requests where neither the caller nor the route sets one. */
 #define DEADLINE_MS 30000
 
-/* Another VM takes it at once; callers of this one mustn't come as a crowd. */
+/*
+ * Another VM accepts the request immediately; the delay keeps this VM's callers
+ * from retrying all at once.
+ */
 #define STOPPING_RETRY_AFTER_MS 50
 
-/* Left between the end of the last request and that of a stopping process. */
+/* Margin between the last deadline and the end of a stopping process. */
 #define STOP_MARGIN_US INT64_C(500000)
 
 /*
- * Classes that the router keeps at once; it has room for 256. Each document
- * may bring new ones, and those that are in no use any more must go.
+ * Classes kept in the router, which has room for 256. Each document may add new
+ * ones, so those used least recently are removed.
  */
 #define CLASSES_MAX 240
 
-/*
- * Ranks of organisations that a server tells apart among requests of one kind.
- */
+/* Organisation ranks distinguished in the priority at a server. */
 #define URGENCY_RANKS 3
 
 bool entry_is_fresh(const struct entry *entry, int64_t now_us)
@@ -85,7 +86,7 @@
 	return true;
 }
 
-/** Answer at once that the request didn't run. */
+/** Refuses a request as not run. */
 void entry_refuse(struct entry *entry, const struct entry_request *request,
 		  enum result code, int64_t retry_after_ms)
 {
@@ -119,8 +120,8 @@
 }
 
 /*
- * The router's class for a tier and its targets. Routes with the same ones
- * share it: a document may have hundreds of routes.
+ * The router's class for a tier and a route's latency targets. Routes with the
+ * same targets share one class: a document may have hundreds of routes.
  */
 static const struct class_rule *
 find_or_add_class(struct entry *entry, const struct route *route, int tier)
@@ -152,10 +153,10 @@
 }
 
 /*
- * An organisation's rank goes before the route's; among its own requests the
- * route's decides. By its rank alone the routes of one organisation would be
- * equal, and under load those with the tightest goals would be refused first,
- * the more urgent ones among them.
+ * Requests are ordered by the organisation's rank and then by the route's tier.
+ * With the organisation's rank alone all routes of one organisation would be
+ * equal, and under load those with the tightest targets would be refused first,
+ * although they are the more urgent ones.
  */
 static int call_tier(const struct route *route,
 		     const struct document_organisation *holder)
@@ -167,10 +168,10 @@
 }
 
 /*
- * How urgent the server shall take the request to be: by its kind first, then
- * by its organisation's rank. A server that runs out of memory stops what is
- * least urgent; with the rank first it would stop short streams and read on
- * long prompts that can wait.
+ * Priority of a request at the server: the route's tier first, then the
+ * organisation's rank. A server that runs out of memory stops the least urgent
+ * requests; with the rank first it would stop short streams and continue the
+ * prefill of long prompts that can wait.
  */
 static int call_urgency(const struct route *route,
 			const struct document_organisation *holder)
@@ -182,7 +183,7 @@
 	return route->tier * URGENCY_RANKS + rank;
 }
 
-/* How long the caller waits, and the route lets it wait, at most. */
+/* Longest wait, by the caller's deadline and the route's time-out. */
 static int64_t wait_limit_us(const struct entry_request *request,
 			     const struct route *route)
 {
@@ -196,10 +197,10 @@
 }
 
 /*
- * Planned stops of several VMs of a zone at once leave its callers no other VM:
- * the balancer sends them to those that stop. A request whose own time ends
- * before this process does is in no danger here, and was refused again and
- * again until its caller gave up.
+ * Planned stops of several VMs of a zone at the same time leave its callers no
+ * other VM: the balancer sends them to the stopping ones. A request whose
+ * deadline is before the end of the process can complete here; such requests
+ * were refused again and again until their callers gave up.
  */
 static bool exceeds_stop_deadline(const struct entry *entry,
 				  const struct entry_request *request,
@@ -278,7 +279,7 @@
 	router_submit(entry->router, &ask, entry->now_us, entry->effects);
 }
 
-/** By the document in force: refuse the request, or hand it to the router. */
+/** Refuses a request by the document in force, or submits it to the router. */
 void entry_decide(struct entry *entry, const struct entry_request *request)
 {
 	const struct document *document = entry->document;
@@ -310,8 +311,8 @@
 }
 
 /**
- * A VM that may not have heard of the newest document can't tell that
- * something isn't there, nor that a key still holds.
+ * Whether requests can be decided on. A VM that may have missed the newest
+ * document can't know that a route doesn't exist or that a key is still valid.
  */
 bool entry_can_decide(const struct entry *entry)
 {
@@ -390,7 +391,7 @@
 	call_free(entry, call);
 }
 
-/* A request counts once, in the window in which it began. */
+/* Counts a request once, in the usage window in which it started. */
 static void count_started(struct entry *entry, uint64_t id)
 {
 	struct open_call *call = call_find(entry, id);
@@ -404,7 +405,10 @@
 		  call->organisation);
 }
 
-/* Its server broke off without an answer: did it run? */
+/*
+ * The server closed the connection without an answer: whether the request ran
+ * is decided later, by whether the server is still alive.
+ */
 static void add_presumed(struct entry *entry,
 			 const struct event_attempt_ended *ended)
 {
--- a/libfilberthall/entry/entry_state.h
+++ b/libfilberthall/entry/entry_state.h
@@ -12,12 +12,12 @@
 #include "usage/presumed.h"
 #include "usage/wall.h"
 
-/** What the files entry*.c share; nobody else includes this. */
+/** Internal to entry*.c; not included by any other file. */
 
-/** When callers of a VM that is out of touch should come back: two polls. */
+/** Retry-after of callers whose request was refused as stale: two polls. */
 #define ENTRY_STALE_RETRY_AFTER_MS 1000
 
-/** A request from its submission to its answer. */
+/** A request between its submission and its answer. */
 struct open_call {
 	struct map_node node; /**< by id */
 	uint64_t id;
@@ -29,22 +29,22 @@
 	bool resumable;
 	bool usage_counted;
 	int tier;
-	int urgency; /**< for the server; 0 is the most urgent */
+	int urgency; /**< priority at the server; 0 is the most urgent */
 	int64_t arrived_us;
 	int64_t deadline_us;
 };
 
-/** A request that waits until this VM is fresh. Text is owned. */
+/** A request deferred until this VM's state is fresh. Strings are owned. */
 struct deferred_request {
 	struct list node;
 	struct entry_request request;
 	int64_t deferred_us;
-	int64_t expires_us; /**< refused then */
+	int64_t expires_us; /**< refused at this time */
 };
 
-/** A class that the router was told of. */
+/** A class that has been added to the router. */
 struct entry_class {
-	struct list node; /**< the one used last stands last */
+	struct list node; /**< sorted by last use, the latest last */
 	struct class_rule rule;
 };
 
@@ -60,28 +60,28 @@
 	struct begun begun;
 	struct presumed presumed;
 	struct wall wall;
-	struct map peers; /**< struct feed_peer: control VMs */
+	struct map peers; /**< the control VMs, struct feed_peer */
 	struct map calls;
-	struct list deferred; /**< oldest first */
+	struct list deferred; /**< struct deferred_request, oldest first */
 	struct list classes;
 	int n_classes;
 	int64_t entry_vms;	   /**< entry VMs that share the retry limit */
-	int64_t announce_sequence; /**< counter of what the fleet is told */
-	int64_t fresh_as_of_us;	   /**< keys are known as of this moment */
+	int64_t announce_sequence; /**< sequence number of announcements to the fleet */
+	int64_t fresh_as_of_us; /**< the state of the document is known as of this time */
 	bool was_fresh;
 	int64_t polled_us;
-	int64_t load_decayed_us;     /* when load figures were last faded */
-	int64_t registry_expired_us; /* when silent servers were last looked for */
-	int64_t fleet_expired_us;    /* when dead starts were last looked for */
-	int64_t usage_reported_us; /**< when counts were last told */
-	struct fetch fetch;	   /**< of the document */
-	bool uncompressed_only;	   /**< a packed one couldn't be read */
-	int64_t stop_requested_us; /**< when the stop was asked for, 0 if not */
+	int64_t load_decayed_us;     /* last decay of load figures */
+	int64_t registry_expired_us; /* last registry_expire() */
+	int64_t fleet_expired_us;    /* last fleet_expire() */
+	int64_t usage_reported_us;   /**< when counts were last sent */
+	struct fetch fetch;	     /**< request for the document */
+	bool uncompressed_only; /**< a compressed document couldn't be read */
+	int64_t stop_requested_us; /**< when the stop was requested, 0: not stopping */
 	int64_t stop_deadline_us;
 	bool exited;
 	struct entry_view totals;
-	struct effects *effects; /**< of the call that runs */
-	int64_t now_us;		 /**< of the call that runs */
+	struct effects *effects; /**< of the current call */
+	int64_t now_us;		 /**< of the current call */
 };
 
 /* entry.c */
--- a/libfilberthall/entry/fetch.c
+++ b/libfilberthall/entry/fetch.c
@@ -1,9 +1,9 @@
 #include "entry/fetch.h"
 
 /*
- * A control VM may be slow while the others aren't. The wait doubles with each
- * copy that is asked for, as a wait shorter than the transfer adds copies that
- * make it longer still.
+ * Another control VM is asked after the timeout, since a single one may be
+ * slow. The timeout doubles with each copy that is requested: if it is shorter
+ * than the transfer, the additional copies make the transfer longer still.
  */
 #define FETCH_PATIENCE_US INT64_C(1000000)
 #define FETCH_PATIENCE_MOST_US INT64_C(16000000)
@@ -16,8 +16,8 @@
 }
 
 /*
- * A link keeps order: what answers a poll that was sent after the question
- * comes behind the answer to the question.
+ * Messages on a link arrive in order: the answer to a poll that was sent after
+ * the request arrives after the answer to the request.
  */
 static bool answer_lost(const struct fetch *fetch,
 			const struct fetch_offer *offer)
--- a/libfilberthall/entry/fetch.h
+++ b/libfilberthall/entry/fetch.h
@@ -5,18 +5,20 @@
 #include <stdint.h>
 
 /**
- * When an entry VM asks for the document, and whom. One answer is under way at
- * a time: a second copy of a large document would delay the first on the same
- * link. A newer version that is told meanwhile is asked for once the one on its
- * way is here, so that a series of changes can't keep all of them from arriving.
+ * Decides when an entry VM requests the document, and from which control VM.
+ * One answer is in transit at a time: a second copy of a large document would
+ * delay the first on the same link. A newer version that is announced meanwhile
+ * is requested once the one in transit has arrived, so that a series of changes
+ * can't keep all of them from arriving.
  */
 struct fetch {
-	uint64_t peer;	  /**< that was asked, 0 while nothing is under way */
-	int64_t asked_us; /**< when it was last asked */
-	int64_t patience_us; /**< when another one is asked besides */
+	uint64_t
+		peer; /**< control VM that was asked, 0: no request is pending */
+	int64_t asked_us;    /**< time of the last request */
+	int64_t patience_us; /**< another control VM is asked after this time */
 };
 
-/** What a control VM says of the version that it holds. */
+/** The version that a control VM announces. */
 struct fetch_offer {
 	uint64_t peer;
 	int64_t version;
@@ -26,16 +28,18 @@
 void fetch_init(struct fetch *fetch);
 
 /**
- * Whether to ask the one that made the offer now; it counts as asked then.
- * `held` is the version in force.
+ * Whether to request the document from the control VM that made the offer; the
+ * request counts as sent then. `held` is the version in force.
  */
 bool fetch_should_request(struct fetch *fetch, const struct fetch_offer *offer,
 			  int64_t held, int64_t now_us);
 
-/** A document newer than the one that was held is here. */
+/** A document newer than the one held has arrived. */
 void fetch_done(struct fetch *fetch);
 
-/** The link to `peer` is gone; whether an answer was awaited from it. */
+/**
+ * The link to `peer` is down; returns whether an answer was expected from it.
+ */
 bool fetch_lose_peer(struct fetch *fetch, uint64_t peer);
 
 #endif
