--- a/daemon/role/entry_daemon.c
+++ b/daemon/role/entry_daemon.c
@@ -424,7 +424,7 @@
 	options.retry_share = boot->retry_share;
 	options.announce_interval_us = boot->beat_ms * 1000;
 	options.retry_window_us = boot->retry_window_s * 1000000;
-	options.retry_allowance = (double)boot->retry_headroom;
+	options.retry_headroom = (double)boot->retry_headroom;
 	options.read_document = role_read_document;
 	options.data = &daemon->role;
 	daemon->entry = entry_new(&options, edge_now_us());
--- a/libfilberthall/control/control_feed.c
+++ b/libfilberthall/control/control_feed.c
@@ -50,7 +50,7 @@
 		.age_us = fresh_us > INT64_MIN / 8 ? now_us - fresh_us : -1,
 		.version = control->ledger.version,
 		.wall_us = wall_time_us(&control->wall, now_us),
-		.entries = control_entry_vms(control),
+		.entry_vms = control_entry_vms(control),
 	};
 
 	return state;
--- a/libfilberthall/document/document.c
+++ b/libfilberthall/document/document.c
@@ -331,7 +331,7 @@
 }
 
 const struct document_organisation *
-document_holder(const struct document *document, const char *key)
+document_organisation_by_key(const struct document *document, const char *key)
 {
 	const struct document_key *found = key_find(document, key);
 
--- a/libfilberthall/document/document.h
+++ b/libfilberthall/document/document.h
@@ -147,7 +147,7 @@
 
 /** The organisation that holds a key, or NULL. */
 const struct document_organisation *
-document_holder(const struct document *document, const char *key);
+document_organisation_by_key(const struct document *document, const char *key);
 
 /** The service with that name, or NULL. */
 const struct service *document_service(const struct document *document,
--- a/libfilberthall/entry/entry.c
+++ b/libfilberthall/entry/entry.c
@@ -189,7 +189,7 @@
 	entry_log(entry, LOG_INFO, "link", "event=down peer=%llx left=%zu",
 		  (unsigned long long)id, entry->peers.count - 1);
 	feed_peer_down(&entry->peers, peer);
-	if (fetch_lose_peer(&entry->fetch, id))
+	if (fetch_peer_lost(&entry->fetch, id))
 		entry_poll(entry);
 }
 
--- a/libfilberthall/entry/entry_feed.c
+++ b/libfilberthall/entry/entry_feed.c
@@ -94,16 +94,16 @@
 {
 	struct feed_peer *peer = feed_peer_find(&entry->peers, id);
 	struct retry_limit limit = { entry->options.retry_share,
-				     entry->options.retry_allowance,
+				     entry->options.retry_headroom,
 				     entry->options.retry_window_us, 0 };
 	struct feed_peer *next;
 	int64_t most = 0;
 
 	if (peer)
-		peer->entries = told;
+		peer->entry_vms = told;
 	map_foreach(peer, next, &entry->peers, node)
-		if (peer->entries > most)
-			most = peer->entries;
+		if (peer->entry_vms > most)
+			most = peer->entry_vms;
 	if (most == entry->entry_vms || !most)
 		return;
 	entry_log(entry, LOG_INFO, "retry",
@@ -114,8 +114,8 @@
 	router_limit_retries(entry->router, &limit);
 }
 
-static void take_state(struct entry *entry, uint64_t peer,
-		       const struct feed_state *state)
+static void handle_state(struct entry *entry, uint64_t peer,
+			 const struct feed_state *state)
 {
 	int64_t held = entry->document ? entry->document->version : 0;
 	int64_t fresh_us = state->echo_us - state->age_us;
@@ -123,7 +123,7 @@
 
 	if (state->wall_us)
 		wall_note(&entry->wall, peer, state->wall_us, entry->now_us);
-	update_retry_limit(entry, peer, state->entries);
+	update_retry_limit(entry, peer, state->entry_vms);
 	fetch_document(entry, &offer);
 	/*
 	 * Counted from when the poll was sent: a withdrawal before the answer
@@ -149,7 +149,8 @@
 		  "asked_ms=%lld used=%d",
 		  (long long)told->version, (long long)held,
 		  (unsigned long long)peer, told->len,
-		  (long long)((entry->now_us - entry->fetch.asked_us) / 1000),
+		  (long long)((entry->now_us - entry->fetch.requested_us) /
+			      1000),
 		  used);
 }
 
@@ -188,7 +189,7 @@
 	}
 	document_free(entry->document);
 	entry->document = document;
-	fetch_done(&entry->fetch);
+	fetch_completed(&entry->fetch);
 	entry_log(entry, LOG_INFO, "document",
 		  "event=in-force version=%lld before=%lld routes=%zu "
 		  "organisations=%zu",
@@ -231,7 +232,8 @@
 }
 
 /* Updates the router's fleet from one registration. */
-static void publish(struct entry *entry, const struct registered *registered)
+static void update_fleet(struct entry *entry,
+			 const struct registered *registered)
 {
 	const struct registration *told = &registered->told;
 	const struct registered *holder =
@@ -264,9 +266,9 @@
 	outcome = registry_take(&entry->registry, told,
 				entry->now_us - message->age_us, &replaced);
 	if (replaced)
-		publish(entry, replaced);
+		update_fleet(entry, replaced);
 	if (outcome == REGISTRY_CHANGED)
-		publish(entry, registry_find(&entry->registry, told->id));
+		update_fleet(entry, registry_find(&entry->registry, told->id));
 }
 
 static void mark_alive(struct entry *entry, const char *id, int64_t born_ms,
@@ -277,7 +279,7 @@
 
 	known = registry_alive(&entry->registry, id, born_ms, heard_us);
 	if (known && was_silent && !known->silent)
-		publish(entry, known);
+		update_fleet(entry, known);
 }
 
 static void handle_alive(struct entry *entry,
@@ -349,7 +351,7 @@
 	}
 	switch (message.kind) {
 	case FEED_STATE:
-		take_state(entry, peer, &message.u.state);
+		handle_state(entry, peer, &message.u.state);
 		break;
 	case FEED_DOCUMENT:
 		handle_document(entry, peer, &message.u.document);
@@ -382,7 +384,7 @@
 
 static void on_server_expired(void *data, struct registered *registered)
 {
-	publish(data, registered);
+	update_fleet(data, registered);
 }
 
 static void expire_registry(struct entry *entry)
--- a/libfilberthall/entry/entry_request.c
+++ b/libfilberthall/entry/entry_request.c
@@ -298,7 +298,8 @@
 	}
 	if (document->n_organisations && !route->open) {
 		if (request->key)
-			holder = document_holder(document, request->key);
+			holder = document_organisation_by_key(document,
+							      request->key);
 		if (!holder) {
 			entry_refuse(entry, request,
 				     request->key ? RESULT_KEY_UNKNOWN
--- a/libfilberthall/entry/fetch.c
+++ b/libfilberthall/entry/fetch.c
@@ -5,14 +5,14 @@
  * slow. The timeout doubles with each copy that is requested: if it is shorter
  * than the transfer, the additional copies make the transfer longer still.
  */
-#define FETCH_PATIENCE_US INT64_C(1000000)
-#define FETCH_PATIENCE_MOST_US INT64_C(16000000)
+#define FETCH_TIMEOUT_US INT64_C(1000000)
+#define FETCH_TIMEOUT_MAX_US INT64_C(16000000)
 
 void fetch_init(struct fetch *fetch)
 {
 	fetch->peer = 0;
-	fetch->asked_us = 0;
-	fetch->patience_us = FETCH_PATIENCE_US;
+	fetch->requested_us = 0;
+	fetch->timeout_us = FETCH_TIMEOUT_US;
 }
 
 /*
@@ -22,18 +22,19 @@
 static bool answer_lost(const struct fetch *fetch,
 			const struct fetch_offer *offer)
 {
-	return offer->peer == fetch->peer && offer->echo_us > fetch->asked_us;
+	return offer->peer == fetch->peer &&
+	       offer->echo_us > fetch->requested_us;
 }
 
-static bool impatient(const struct fetch *fetch, int64_t now_us)
+static bool fetch_timed_out(const struct fetch *fetch, int64_t now_us)
 {
-	return now_us - fetch->asked_us >= fetch->patience_us;
+	return now_us - fetch->requested_us >= fetch->timeout_us;
 }
 
-static void ask(struct fetch *fetch, uint64_t peer, int64_t now_us)
+static void record_request(struct fetch *fetch, uint64_t peer, int64_t now_us)
 {
 	fetch->peer = peer;
-	fetch->asked_us = now_us;
+	fetch->requested_us = now_us;
 }
 
 bool fetch_should_request(struct fetch *fetch, const struct fetch_offer *offer,
@@ -42,24 +43,24 @@
 	if (offer->version <= held)
 		return false;
 	if (!fetch->peer || answer_lost(fetch, offer)) {
-		ask(fetch, offer->peer, now_us);
+		record_request(fetch, offer->peer, now_us);
 		return true;
 	}
-	if (offer->peer == fetch->peer || !impatient(fetch, now_us))
+	if (offer->peer == fetch->peer || !fetch_timed_out(fetch, now_us))
 		return false;
-	fetch->patience_us *= 2;
-	if (fetch->patience_us > FETCH_PATIENCE_MOST_US)
-		fetch->patience_us = FETCH_PATIENCE_MOST_US;
-	ask(fetch, offer->peer, now_us);
+	fetch->timeout_us *= 2;
+	if (fetch->timeout_us > FETCH_TIMEOUT_MAX_US)
+		fetch->timeout_us = FETCH_TIMEOUT_MAX_US;
+	record_request(fetch, offer->peer, now_us);
 	return true;
 }
 
-void fetch_done(struct fetch *fetch)
+void fetch_completed(struct fetch *fetch)
 {
 	fetch_init(fetch);
 }
 
-bool fetch_lose_peer(struct fetch *fetch, uint64_t peer)
+bool fetch_peer_lost(struct fetch *fetch, uint64_t peer)
 {
 	if (fetch->peer != peer)
 		return false;
--- a/libfilberthall/entry/fetch.h
+++ b/libfilberthall/entry/fetch.h
@@ -14,8 +14,8 @@
 struct fetch {
 	uint64_t
 		peer; /**< control VM that was asked, 0: no request is pending */
-	int64_t asked_us;    /**< time of the last request */
-	int64_t patience_us; /**< another control VM is asked after this time */
+	int64_t requested_us; /**< time of the last request */
+	int64_t timeout_us; /**< another control VM is asked after this time */
 };
 
 /** The version that a control VM announces. */
@@ -35,11 +35,11 @@
 			  int64_t held, int64_t now_us);
 
 /** A document newer than the one held has arrived. */
-void fetch_done(struct fetch *fetch);
+void fetch_completed(struct fetch *fetch);
 
 /**
  * The link to `peer` is down; returns whether an answer was expected from it.
  */
-bool fetch_lose_peer(struct fetch *fetch, uint64_t peer);
+bool fetch_peer_lost(struct fetch *fetch, uint64_t peer);
 
 #endif
--- a/libfilberthall/feed/feed.c
+++ b/libfilberthall/feed/feed.c
@@ -38,7 +38,7 @@
 	msgpack_pack_int64(&packer, state->age_us);
 	msgpack_pack_int64(&packer, state->version);
 	msgpack_pack_int64(&packer, state->wall_us);
-	msgpack_pack_int64(&packer, state->entries);
+	msgpack_pack_int64(&packer, state->entry_vms);
 }
 
 void feed_write_fetch(struct bytes *out, const struct feed_fetch *fetch)
@@ -285,8 +285,8 @@
 static bool read_state(const struct unpacked *items, struct feed_state *state)
 {
 	/* Releases before this item said nothing of the others. */
-	if (!unpack_int(items, 5, &state->entries))
-		state->entries = 0;
+	if (!unpack_int(items, 5, &state->entry_vms))
+		state->entry_vms = 0;
 	return unpack_int(items, 1, &state->echo_us) &&
 	       unpack_int(items, 2, &state->age_us) &&
 	       unpack_int(items, 3, &state->version) &&
--- a/libfilberthall/feed/feed.h
+++ b/libfilberthall/feed/feed.h
@@ -37,11 +37,11 @@
 };
 
 struct feed_state {
-	int64_t echo_us; /**< of the poll; 0 for a push */
-	int64_t age_us;	 /**< since a quorum stood behind it; -1 unknown */
-	int64_t version; /**< of the newest document applied, 0 for none */
-	int64_t wall_us; /**< wall clock when it was sent */
-	int64_t entries; /**< entry VMs that have a link to it; 0 unknown */
+	int64_t echo_us;   /**< of the poll; 0 for a push */
+	int64_t age_us;	   /**< since a quorum stood behind it; -1 unknown */
+	int64_t version;   /**< of the newest document applied, 0 for none */
+	int64_t wall_us;   /**< wall clock when it was sent */
+	int64_t entry_vms; /**< entry VMs that have a link to it; 0 unknown */
 };
 
 struct feed_fetch {
--- a/libfilberthall/feed/peers.h
+++ b/libfilberthall/feed/peers.h
@@ -12,13 +12,13 @@
 struct feed_peer {
 	struct map_node node; /**< by id */
 	uint64_t id;
-	bool observer;	 /**< an entry VM */
-	int64_t entries; /**< entry VMs that it has told of */
-	bool fetches;	 /**< waits for the document in force */
-	bool marks;	 /**< understands FEED_MARKS and what came with it */
-	bool welcomed;	 /**< was told of all servers, or is a newcomer */
-	bool newcomer;	 /**< waits for the list of all servers */
-	bool changes;	 /**< understands FEED_CHANGE */
+	bool observer;	   /**< an entry VM */
+	int64_t entry_vms; /**< entry VMs that it has told of */
+	bool fetches;	   /**< waits for the document in force */
+	bool marks;	   /**< understands FEED_MARKS and what came with it */
+	bool welcomed;	   /**< was told of all servers, or is a newcomer */
+	bool newcomer;	   /**< waits for the list of all servers */
+	bool changes;	   /**< understands FEED_CHANGE */
 };
 
 struct feed_peer *feed_peer_find(const struct map *peers, uint64_t id);
--- a/tests/document/t-document.c
+++ b/tests/document/t-document.c
@@ -181,8 +181,9 @@
 	add_organisation(document, "yards", "k1");
 	add_organisation(document, "drivers", "k2");
 	g_assert_cmpint(document_check(document, NULL), ==, RESULT_OK);
-	g_assert_cmpstr(document_holder(document, "k2")->name, ==, "drivers");
-	g_assert_null(document_holder(document, "k3"));
+	g_assert_cmpstr(document_organisation_by_key(document, "k2")->name, ==,
+			"drivers");
+	g_assert_null(document_organisation_by_key(document, "k3"));
 	document_free(document);
 }
 
--- a/tests/document/t-encoding.c
+++ b/tests/document/t-encoding.c
@@ -111,8 +111,9 @@
 	check_service(&document->services[1], &back->services[1]);
 	check_route(&document->routes[0], &back->routes[0]);
 	g_assert_nonnull(document_route(back, "a.example", "/critique/7"));
-	g_assert_cmpstr(document_holder(back, "k2")->name, ==, "yards");
-	g_assert_cmpint(document_holder(back, "k2")->tier, ==, 1);
+	g_assert_cmpstr(document_organisation_by_key(back, "k2")->name, ==,
+			"yards");
+	g_assert_cmpint(document_organisation_by_key(back, "k2")->tier, ==, 1);
 	g_assert_cmpint(back->organisations[1].tier, ==, -1);
 	bytes_clear(&encoded);
 	document_free(document);
--- a/tests/entry/bed.c
+++ b/tests/entry/bed.c
@@ -281,7 +281,7 @@
 					 .max_staleness_us = 4500000,
 					 .window_us = 5 * SECOND,
 					 .retry_share = 0.2,
-					 .retry_allowance = 54,
+					 .retry_headroom = 54,
 					 .retry_window_us = 10 * SECOND,
 					 .read_document = read_document };
 	struct event_link_up up = { CONTROL, (char *)"control-1", (char *)"z1",
--- a/tests/platform/t-platform.c
+++ b/tests/platform/t-platform.c
@@ -185,7 +185,8 @@
 	g_assert_cmpint(service->scaling.most, ==, 8);
 	g_assert_cmpint(service->scaling.boot_ms, ==, 4000);
 	g_assert_cmpuint(service->scaling.n_zones, ==, 2);
-	g_assert_cmpint(document_holder(document, "k2")->tier, ==, 2);
+	g_assert_cmpint(document_organisation_by_key(document, "k2")->tier, ==,
+			2);
 	document_free(document);
 }
 
