--- a/libfilberthall/core/consensus.c
+++ b/libfilberthall/core/consensus.c
@@ -1,6 +1,6 @@
 /*
- * The log and what comes out of it: each committed entry changes the agreed
- * state, and what it changed is acted upon at once.
+ * Applies committed log entries to the replicated state and passes each change
+ * on to the modules that it concerns.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,18 +9,19 @@
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* A leader that came up first waits for nobody before it seeds a site. */
-#define CONSENSUS_SEED_GIVE_UP_US INT64_C(60000000)
+/* Time after which the proposal of a new site's first settings is given up. */
+#define CONSENSUS_SEED_TIMEOUT_US INT64_C(60000000)
 
 /*
- * A daemon silent for this long is taken for dead, and what it claimed for
- * unknown. It is longer than an election and a lease together, and shorter
- * than callers' patience with a resend. One that lives after all only gets
- * its claims refused once and takes a new owner number.
+ * A daemon without contact for this long is considered dead, and the outcome
+ * of its claims unknown. This is longer than an election and a lease together,
+ * and shorter than callers wait for the answer of a resend. If the daemon is
+ * alive after all, its next claim is refused once and it takes a new owner
+ * number.
  */
-#define CONSENSUS_OWNER_GONE_US INT64_C(10000000)
+#define CONSENSUS_OWNER_TIMEOUT_US INT64_C(10000000)
 
-#define CONSENSUS_SECOND_US INT64_C(1000000)
+#define CONSENSUS_EXPIRE_PROPOSAL_TIMEOUT_US INT64_C(1000000)
 
 struct entry_head consensus_head(struct core *core)
 {
@@ -43,7 +44,8 @@
 	       stale_ms * 1000;
 }
 
-static void consensus_act(struct core *core, const struct change *change)
+static void consensus_apply_change(struct core *core,
+				   const struct change *change)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	const struct organisation_rule *organisation;
@@ -85,14 +87,15 @@
 }
 
 static bool consensus_is_own(const struct core *core,
-			     const struct applied *applied)
+			     const struct apply_result *applied)
 {
 	return applied->origin == core->options.self &&
 	       (applied->incarnation == (uint64_t)core->options.incarnation ||
-		applied->incarnation == core->owner);
+		applied->incarnation == core->claim_owner);
 }
 
-static void consensus_settle(struct core *core, const struct applied *applied)
+static void consensus_settle_own(struct core *core,
+				 const struct apply_result *applied)
 {
 	struct proposal *proposal;
 	size_t i;
@@ -101,14 +104,14 @@
 		const struct claim_outcome *outcome = &applied->claims[i];
 
 		/*
-		 * The others took this daemon for dead. Claims under its old
-		 * owner number are closed for good; a new number is as good
-		 * as a restart, and nothing that was sent is sent again.
+		 * The other daemons considered this one dead. Claims under its
+		 * old owner number stay closed; a new number has the same
+		 * effect as a restart, and nothing is sent twice.
 		 */
 		if (outcome->code == RESULT_CONFLICT &&
 		    outcome->verb == CLAIM_VERB_OPEN &&
-		    applied->incarnation == core->owner)
-			core->owner++;
+		    applied->incarnation == core->claim_owner)
+			core->claim_owner++;
 		request_claim_outcome(core, outcome);
 	}
 	proposal = propose_find(core, applied->ticket);
@@ -122,7 +125,7 @@
 static void consensus_apply(struct core *core,
 			    const struct raft_committed *committed)
 {
-	struct applied applied = { 0 };
+	struct apply_result applied = { 0 };
 	struct change *change;
 
 	agreed_apply(core->agreed, committed->data, committed->len,
@@ -132,10 +135,10 @@
 			 "entry %lld can't be read; it changes nothing",
 			 (long long)committed->index);
 	list_foreach(change, &applied.changes, node)
-		consensus_act(core, change);
+		consensus_apply_change(core, change);
 	if (consensus_is_own(core, &applied))
-		consensus_settle(core, &applied);
-	applied_clear(&applied);
+		consensus_settle_own(core, &applied);
+	apply_result_clear(&applied);
 }
 
 static void consensus_set_class(void *data, const struct class_rule *rule)
@@ -153,7 +156,7 @@
 	router_set_organisation(core->router, rule, core->now_us);
 }
 
-/* What there was before a snapshot replaced the state. */
+/* Names that existed before a snapshot replaced the state. */
 struct consensus_names {
 	char **names;
 	size_t n;
@@ -191,10 +194,11 @@
 	free(names->names);
 }
 
-static void consensus_drop_gone(struct core *core,
-				const struct consensus_names *classes,
-				const struct consensus_names *organisations,
-				const struct consensus_names *keys)
+static void
+consensus_remove_missing(struct core *core,
+			 const struct consensus_names *classes,
+			 const struct consensus_names *organisations,
+			 const struct consensus_names *keys)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	size_t i;
@@ -214,12 +218,12 @@
 }
 
 /*
- * A daemon that was cut off long enough gets a snapshot in place of the
- * entries it missed. What they removed must be acted upon as well: a key
- * withdrawn meanwhile would otherwise go on streaming.
+ * A daemon that was disconnected for long gets a snapshot in place of the
+ * entries it missed. What those entries removed is removed here too; otherwise
+ * streams of a key withdrawn meanwhile would continue.
  */
-static void consensus_take_snapshot(struct core *core,
-				    const struct raft_committed *committed)
+static void consensus_install_snapshot(struct core *core,
+				       const struct raft_committed *committed)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	struct consensus_names classes = { 0 };
@@ -239,7 +243,7 @@
 		rules_visit_classes(settings, consensus_set_class, core);
 		rules_visit_organisations(settings, consensus_set_organisation,
 					  core);
-		consensus_drop_gone(core, &classes, &organisations, &keys);
+		consensus_remove_missing(core, &classes, &organisations, &keys);
 	}
 	request_claim_changed(core, NULL);
 	consensus_names_clear(&classes);
@@ -247,7 +251,7 @@
 	consensus_names_clear(&keys);
 }
 
-void consensus_drain(struct core *core)
+void consensus_apply_committed(struct core *core)
 {
 	struct raft_committed committed;
 
@@ -255,7 +259,7 @@
 		if (committed.kind == RAFT_COMMITTED_COMMAND)
 			consensus_apply(core, &committed);
 		else if (committed.kind == RAFT_COMMITTED_SNAPSHOT)
-			consensus_take_snapshot(core, &committed);
+			consensus_install_snapshot(core, &committed);
 	}
 	if (raft_need_snapshot(core->raft)) {
 		struct bytes state = { 0 };
@@ -290,25 +294,25 @@
 		   options->seed_key_hash);
 	json_decref(values);
 	propose_entry(core, head.ticket, &entry,
-		      core->now_us + CONSENSUS_SEED_GIVE_UP_US);
+		      core->now_us + CONSENSUS_SEED_TIMEOUT_US);
 }
 
-static bool consensus_is_silent(const struct core *core,
-				const struct member *member)
+static bool consensus_is_unreachable(const struct core *core,
+				     const struct member *member)
 {
 	struct member_health health;
 
 	return member->id != core->options.self &&
 	       raft_health(core->raft, member->id, &health) &&
-	       core->now_us - health.heard_us >= CONSENSUS_OWNER_GONE_US;
+	       core->now_us - health.last_contact_us >=
+		       CONSENSUS_OWNER_TIMEOUT_US;
 }
 
 /*
- * The leader declares owners of claims gone that have been silent: their
- * claims end as unknown, and callers' resends get that answer in place of
- * "running" for ever.
+ * On the leader: closes the claims of unreachable owners as unknown, so that
+ * callers' resends get that answer in place of "running" for ever.
  */
-static void consensus_bury(struct core *core)
+static void consensus_expire_claim_owners(struct core *core)
 {
 	const struct members *members = raft_members(core->raft);
 	size_t i;
@@ -318,7 +322,7 @@
 		struct entry_head head;
 		struct bytes entry = { 0 };
 
-		if (!consensus_is_silent(core, &members->items[i]))
+		if (!consensus_is_unreachable(core, &members->items[i]))
 			continue;
 		owner.incarnation =
 			claims_latest_owner(agreed_claims(core->agreed),
@@ -331,22 +335,27 @@
 		head = consensus_head(core);
 		entry_owner_gone(&entry, &head, &owner);
 		propose_entry(core, head.ticket, &entry,
-			      core->now_us + CONSENSUS_SECOND_US);
+			      core->now_us +
+				      CONSENSUS_EXPIRE_PROPOSAL_TIMEOUT_US);
 	}
 }
 
-/* The settings of the group, as the leader's repair needs them. */
+/*
+ * Passes the membership settings to Raft, for the leader's replacement of
+ * voters.
+ */
 static void consensus_set_policy(struct core *core)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	struct member_policy policy = { 0 };
 
 	policy.voters = (int)rules_number(settings, "site/cluster", "voters");
-	policy.replace_us =
+	policy.voter_timeout_us =
 		(int64_t)(1e6 * rules_number(settings, "site/cluster",
 					     "repair_after_s"));
-	policy.drop_us = (int64_t)(1e6 * rules_number(settings, "site/cluster",
-						      "learner_gone_after_s"));
+	policy.learner_timeout_us =
+		(int64_t)(1e6 * rules_number(settings, "site/cluster",
+					     "learner_gone_after_s"));
 	raft_set_policy(core->raft, &policy);
 }
 
@@ -374,9 +383,9 @@
 	propose_retry(core);
 }
 
-void consensus_second(struct core *core)
+void consensus_slow_tick(struct core *core)
 {
 	consensus_set_policy(core);
 	if (raft_is_leader(core->raft))
-		consensus_bury(core);
+		consensus_expire_claim_owners(core);
 }
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -1,10 +1,10 @@
 /*
- * Operators' calls: who calls, may they, and either an answer from this
- * daemon's state, an entry for the log, or a call to the leader.
- *
- * Failure answered: the answer of a change is lost and the operator sends it
- * again. A change without a change id gets one here, so that at least our own
- * resends to a new leader do nothing twice; the command line sends its own.
+ * Operators' calls: authenticates and authorises the operator, then answers
+ * from this daemon's state, proposes a log entry or forwards the call to the
+ * leader. If the answer to a change is lost, the operator sends the change
+ * again. A change without a change id gets one here, so that this daemon's own
+ * resends to a new leader aren't applied twice; the command line sends its
+ * own.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -15,12 +15,12 @@
 #include "base/cleanup.h"
 #include "core/core_state.h"
 
-/* Longer than two elections; then the outcome is said to be unknown. */
-#define OPERATOR_GIVE_UP_US INT64_C(10000000)
+/* Longer than two elections; after it the outcome is reported as unknown. */
+#define OPERATOR_TIMEOUT_US INT64_C(10000000)
 
-#define OPERATOR_WAIT_MOST_US INT64_C(60000000)
+#define OPERATOR_WAIT_MAX_US INT64_C(60000000)
 
-/* A call with its answer's way back. */
+/* A call and where its answer is sent. */
 struct operator_call {
 	uint64_t peer; /**< 0: this daemon's own listener */
 	uint64_t id;
@@ -68,30 +68,34 @@
 	operator_answer(core, call->peer, call->id, code, answer);
 }
 
-static struct admin_call *operator_wait(struct core *core,
-					const struct operator_call *call,
-					int64_t give_up_us)
+static struct pending_call *
+operator_add_pending(struct core *core, const struct operator_call *call,
+		     int64_t give_up_us)
 {
-	struct admin_call *waiting = xcalloc(1, sizeof(*waiting));
+	struct pending_call *waiting = xcalloc(1, sizeof(*waiting));
 
 	waiting->id = call->id;
 	waiting->peer = call->peer;
 	waiting->started_us = core->now_us;
-	waiting->give_up_us = core->now_us + give_up_us;
-	list_append(&core->admin_calls, &waiting->node);
+	waiting->expires_us = core->now_us + give_up_us;
+	list_append(&core->pending_calls, &waiting->node);
 	return waiting;
 }
 
-static void operator_keep_message(void *data, enum result code,
-				  const char *message)
+static void operator_store_message(void *data, enum result code,
+				   const char *message)
 {
 	bytes_clear(data);
 	bytes_append_text(data, message);
 }
 
-/* The arguments with a change id, the operator's or one of ours. */
-static struct bytes operator_args(struct core *core, const struct bytes *body,
-				  uint64_t ticket)
+/*
+ * The arguments with a change id, which is generated if the operator sent
+ * none.
+ */
+static struct bytes operator_args_with_change_id(struct core *core,
+						 const struct bytes *body,
+						 uint64_t ticket)
 {
 	json_t *args = json_loadb(body->data, body->len, 0, NULL);
 	struct bytes out = { 0 };
@@ -112,12 +116,14 @@
 	return out;
 }
 
-static void operator_write(struct core *core, const struct operator_call *call)
+static void operator_propose(struct core *core,
+			     const struct operator_call *call)
 {
 	struct entry_head head = consensus_head(core);
-	struct bytes args = operator_args(core, call->body, head.ticket);
+	struct bytes args =
+		operator_args_with_change_id(core, call->body, head.ticket);
 	struct bytes message = { 0 };
-	struct error_handler handler = { operator_keep_message, &message };
+	struct error_handler handler = { operator_store_message, &message };
 	struct bytes entry = { 0 };
 	struct proposal *proposal;
 	enum result code;
@@ -129,7 +135,7 @@
 		operator_refuse(core, call, code, bytes_text(&message));
 	} else {
 		proposal = propose_entry(core, head.ticket, &entry,
-					 core->now_us + OPERATOR_GIVE_UP_US);
+					 core->now_us + OPERATOR_TIMEOUT_US);
 		proposal->admin_id = call->id;
 	}
 	bytes_clear(&args);
@@ -138,7 +144,7 @@
 }
 
 void operator_applied(struct core *core, struct proposal *proposal,
-		      const struct applied *applied)
+		      const struct apply_result *applied)
 {
 	json_t *answer = applied->answer ? json_deep_copy(applied->answer)
 					 : json_object();
@@ -149,7 +155,7 @@
 	operator_answer(core, 0, proposal->admin_id, applied->code, answer);
 }
 
-void operator_lost(struct core *core, struct proposal *proposal)
+void operator_timed_out(struct core *core, struct proposal *proposal)
 {
 	operator_answer(core, 0, proposal->admin_id, RESULT_NO_QUORUM,
 			json_pack("{s:s}", "message",
@@ -191,10 +197,10 @@
 static void operator_wait_index(struct core *core,
 				const struct operator_call *call)
 {
-	struct admin_call *waiting;
+	struct pending_call *waiting;
 
-	waiting = operator_wait(core, call, OPERATOR_WAIT_MOST_US);
-	in_force_wait(core, waiting, call->body);
+	waiting = operator_add_pending(core, call, OPERATOR_WAIT_MAX_US);
+	pending_call_wait_for_index(core, waiting, call->body);
 }
 
 static void operator_drain(struct core *core, const struct operator_call *call)
@@ -214,7 +220,10 @@
 	json_decref(args);
 }
 
-/* A planned stop: drain, then the order, by the one in charge. */
+/*
+ * A planned stop: the lease holder drains the backend server, then orders its
+ * stop.
+ */
 static void operator_stop(struct core *core, const struct operator_call *call)
 {
 	json_t *args = json_loadb(call->body->data, call->body->len, 0, NULL);
@@ -225,25 +234,25 @@
 	if (!address || !fleet_find(&core->fleet, address)) {
 		operator_refuse(core, call, RESULT_NOT_FOUND,
 				"address: no such backend server");
-	} else if (undo && !charge_unstop(core, address)) {
+	} else if (undo && !autoscaler_cancel_stop(core, address)) {
 		operator_refuse(core, call, RESULT_CONFLICT,
 				"the stop was ordered already, or never asked "
 				"for");
 	} else {
 		if (!undo)
-			charge_stop(core, address);
+			autoscaler_stop_backend(core, address);
 		operator_answer(core, call->peer, call->id, RESULT_OK,
 				json_pack("{s:o}", "stops",
-					  charge_describe_drains(core)));
+					  autoscaler_describe_drains(core)));
 	}
 	json_decref(args);
 }
 
 static void operator_spend(struct core *core, const struct operator_call *call)
 {
-	json_t *answer = charge_describe_spend(core);
+	json_t *answer = autoscaler_describe_spend(core);
 
-	json_object_set_new(answer, "stops", charge_describe_drains(core));
+	json_object_set_new(answer, "stops", autoscaler_describe_drains(core));
 	operator_answer(core, call->peer, call->id, RESULT_OK, answer);
 }
 
@@ -305,19 +314,20 @@
 	return NULL;
 }
 
-static void operator_to_leader(struct core *core,
-			       const struct operator_call *call)
+static void operator_forward_to_leader(struct core *core,
+				       const struct operator_call *call)
 {
 	uint64_t leader = raft_leader(core->raft);
-	struct admin_call *waiting;
+	struct pending_call *waiting;
 
 	if (!leader || call->peer) {
 		operator_refuse(core, call, RESULT_NOT_LEADER,
 				"no leader is known; try again in a second");
 		return;
 	}
-	waiting = operator_wait(core, call,
-				OPERATOR_WAIT_MOST_US + OPERATOR_GIVE_UP_US);
+	waiting = operator_add_pending(core, call,
+				       OPERATOR_WAIT_MAX_US +
+					       OPERATOR_TIMEOUT_US);
 	waiting->ticket = ++core->next_ticket;
 	waiting->leader = leader;
 	forward_admin(core, leader, waiting->ticket, call->key->id,
@@ -334,7 +344,7 @@
 		operator_refuse(core, call, RESULT_PATH_FORBIDDEN,
 				"this needs a key for the whole site");
 	else if (command->leader && !raft_is_leader(core->raft))
-		operator_to_leader(core, call);
+		operator_forward_to_leader(core, call);
 	else
 		command->run(core, call);
 }
@@ -374,7 +384,7 @@
 		operator_read(core, &call);
 		break;
 	case ADMIN_WRITE:
-		operator_write(core, &call);
+		operator_propose(core, &call);
 		break;
 	case ADMIN_OTHER:
 		operator_run(core, &call);
@@ -402,10 +412,10 @@
 void operator_answered(struct core *core, uint64_t ticket, enum result code,
 		       const struct bytes *body)
 {
-	struct admin_call *waiting;
+	struct pending_call *waiting;
 	json_t *answer;
 
-	list_foreach(waiting, &core->admin_calls, node) {
+	list_foreach(waiting, &core->pending_calls, node) {
 		if (waiting->ticket != ticket)
 			continue;
 		answer = json_loadb(body->data, body->len, 0, NULL);
--- a/libfilberthall/entry/entry.c
+++ b/libfilberthall/entry/entry.c
@@ -150,7 +150,7 @@
 	entry_feed_tick(entry);
 	if (now_us - entry->load_decayed_us >= LOAD_DECAY_US) {
 		entry->load_decayed_us = now_us;
-		fleet_fade(&entry->fleet, LOAD_DECAY_US, now_us);
+		fleet_decay_load(&entry->fleet, LOAD_DECAY_US, now_us);
 	}
 	router_tick(entry->router, now_us, effects);
 	log_freshness_change(entry);
@@ -244,6 +244,6 @@
 				    : -1;
 	view.control_vms = (int)entry->peers.count;
 	view.open = (int64_t)entry->calls.count;
-	view.servers = registry_usable(&entry->registry);
+	view.servers = registry_count_usable(&entry->registry);
 	return view;
 }
--- a/libfilberthall/entry/entry.h
+++ b/libfilberthall/entry/entry.h
@@ -28,9 +28,9 @@
 	int64_t max_staleness_us; /**< requests aren't decided on older state */
 	int64_t window_us;	  /**< length of a usage window */
 	double retry_share;	  /**< retries per request, over all VMs */
-	double retry_headroom; /**< retries allowed in any window in addition, over all VMs */
+	double retry_headroom;	  /**< further retries in any window */
 	int64_t retry_window_us;
-	int64_t announce_interval_us; /**< announcement interval of backend servers */
+	int64_t announce_interval_us; /**< of backend servers */
 	/**
 	 * Parses a document; NULL if it is invalid. Control VMs have checked
 	 * it, so this fails only if they run another release.
@@ -51,8 +51,8 @@
 	const char *body_hash; /**< hash of path and body, hexadecimal */
 	uint64_t prefix_hash; /**< hash of the prompt's shared parts; 0: none */
 	int64_t prompt_tokens;
-	int64_t shared_tokens; /**< prompt tokens in parts shared with other requests */
-	int64_t output_tokens; /**< the caller's limit or estimate; 0: unknown */
+	int64_t shared_tokens; /**< in parts shared with other requests */
+	int64_t output_tokens; /**< limit or estimate; 0: unknown */
 	int64_t deadline_ms;   /**< how long the caller waits; 0: unknown */
 };
 
@@ -147,7 +147,7 @@
 	int64_t requested;
 	int64_t received;
 	int64_t unused; /**< received, but not newer than the one held */
-	int64_t bytes; /**< bytes received, compressed where they were sent so */
+	int64_t bytes;	/**< received, as sent (maybe compressed) */
 };
 
 /** For metrics and status. */
--- a/libfilberthall/entry/entry_request.c
+++ b/libfilberthall/entry/entry_request.c
@@ -416,7 +416,7 @@
 	const struct open_call *call = call_find(entry, ended->id);
 	int64_t wall_us = wall_time_us(&entry->wall, entry->now_us);
 	struct presumed_break what = { .request = ended->id };
-	const struct registered *server = NULL;
+	const struct registry_entry *server = NULL;
 	struct router_attempt_view attempt;
 
 	if (!call || call->usage_counted || !call->organisation[0] ||
@@ -426,10 +426,10 @@
 	    !presumed_possible((enum result)ended->code, ended->sent,
 			       attempt.us))
 		return;
-	server = registry_at(&entry->registry, attempt.address);
+	server = registry_find_address(&entry->registry, attempt.address);
 	if (!server)
 		return;
-	what.server = &server->told;
+	what.server = &server->registration;
 	what.organisation = call->organisation;
 	what.window = wall_us / entry->options.window_us;
 	presumed_add(&entry->presumed, &what, entry->now_us);
--- a/libfilberthall/entry/entry_state.h
+++ b/libfilberthall/entry/entry_state.h
@@ -66,8 +66,8 @@
 	struct list classes;
 	int n_classes;
 	int64_t entry_vms;	   /**< entry VMs that share the retry limit */
-	int64_t announce_sequence; /**< sequence number of announcements to the fleet */
-	int64_t fresh_as_of_us; /**< the state of the document is known as of this time */
+	int64_t announce_sequence; /**< last number given to the fleet */
+	int64_t fresh_as_of_us;	   /**< document state known as of then */
 	bool was_fresh;
 	int64_t polled_us;
 	int64_t load_decayed_us;     /* last decay of load figures */
@@ -76,7 +76,7 @@
 	int64_t usage_reported_us;   /**< when counts were last sent */
 	struct fetch fetch;	     /**< request for the document */
 	bool uncompressed_only; /**< a compressed document couldn't be read */
-	int64_t stop_requested_us; /**< when the stop was requested, 0: not stopping */
+	int64_t stop_requested_us; /**< 0: not stopping */
 	int64_t stop_deadline_us;
 	bool exited;
 	struct entry_view totals;
--- a/libfilberthall/entry/fetch.h
+++ b/libfilberthall/entry/fetch.h
@@ -12,8 +12,7 @@
  * can't keep all of them from arriving.
  */
 struct fetch {
-	uint64_t
-		peer; /**< control VM that was asked, 0: no request is pending */
+	uint64_t peer;	      /**< asked last, 0: no request is pending */
 	int64_t requested_us; /**< time of the last request */
 	int64_t timeout_us; /**< another control VM is asked after this time */
 };
