--- a/libfilberthall/entry/entry.h
+++ b/libfilberthall/entry/entry.h
@@ -28,7 +28,7 @@
 	int64_t max_staleness_us; /**< requests aren't decided on older state */
 	int64_t window_us;	  /**< length of a usage window */
 	double retry_share;	  /**< retries per request, over all VMs */
-	double retry_headroom;	  /**< further retries in any window */
+	double retry_headroom;	  /**< in addition per window, over all VMs */
 	int64_t retry_window_us;
 	int64_t announce_interval_us; /**< of backend servers */
 	/**
