--- a/libfilberthall/agree/raft_disk.c
+++ b/libfilberthall/agree/raft_disk.c
@@ -7,14 +7,14 @@
 #include "core/event.h"
 
 /**
- * What of Raft touches the disk, and what waits for it. Each call that wrote
- * something ends with one EFFECT_LOG_SYNC; the disk thread serves many of
- * them by one sync.
+ * Disk writes, and the messages that wait for them. Each call that wrote
+ * something ends with one EFFECT_LOG_SYNC; the disk thread completes many of
+ * them with one sync.
  */
 
 static bool raft_writes(const struct raft *raft)
 {
-	return raft->options.self.disk && !raft->failed;
+	return raft->options.self.disk && !raft->disk_failed;
 }
 
 void raft_write_hard_state(struct raft *raft, struct effects *effects)
@@ -44,12 +44,12 @@
 }
 
 /**
- * Entries from `from` on are replaced. Syncs under way were for the old ones,
- * so they must not count for the new ones that take their place.
+ * Entries from `from` on are replaced. Pending syncs cover the old entries, so
+ * they must not make the new ones count as durable.
  */
 void raft_unsync(struct raft *raft, int64_t from)
 {
-	struct raft_ticket *ticket;
+	struct raft_pending_sync *ticket;
 
 	list_foreach(ticket, &raft->tickets, node)
 		if (ticket->last_index >= from)
@@ -105,14 +105,14 @@
 	raft_send_bytes(raft, peer, &body, effects);
 }
 
-/** Send once all that this call has written so far is synced. */
+/** Send a message once all that has been written so far is synced. */
 void raft_send_after_sync(struct raft *raft, uint64_t peer,
 			  const struct raft_message *message,
 			  struct effects *effects)
 {
-	struct raft_waiting *waiting;
+	struct raft_deferred_message *waiting;
 
-	if (raft->failed)
+	if (raft->disk_failed)
 		return;
 	if (!raft->dirty && list_empty(&raft->tickets)) {
 		raft_send(raft, peer, message, effects);
@@ -122,16 +122,16 @@
 	waiting->ticket = raft->last_ticket + (raft->dirty ? 1 : 0);
 	waiting->peer = peer;
 	raft_message_encode(message, &waiting->body);
-	list_append(&raft->waiting, &waiting->node);
+	list_append(&raft->deferred, &waiting->node);
 }
 
 static void raft_release_waiting(struct raft *raft, int64_t ticket,
 				 struct effects *effects)
 {
-	struct raft_waiting *waiting;
-	struct raft_waiting *next;
+	struct raft_deferred_message *waiting;
+	struct raft_deferred_message *next;
 
-	list_foreach_safe(waiting, next, &raft->waiting, node) {
+	list_foreach_safe(waiting, next, &raft->deferred, node) {
 		if (waiting->ticket > ticket)
 			break;
 		list_remove(&waiting->node);
@@ -142,22 +142,25 @@
 
 static void raft_drop_waiting(struct raft *raft)
 {
-	struct raft_waiting *waiting;
-	struct raft_waiting *next;
+	struct raft_deferred_message *waiting;
+	struct raft_deferred_message *next;
 
-	list_foreach_safe(waiting, next, &raft->waiting, node) {
+	list_foreach_safe(waiting, next, &raft->deferred, node) {
 		list_remove(&waiting->node);
 		bytes_clear(&waiting->body);
 		free(waiting);
 	}
 }
 
-/** All writes up to `ticket` are durable: say and count what waited. */
+/**
+ * All writes up to `ticket` are durable: send the deferred messages and count
+ * the votes and entries.
+ */
 static void raft_settle(struct raft *raft, int64_t ticket, int64_t now_us,
 			struct effects *effects)
 {
-	struct raft_ticket *done;
-	struct raft_ticket *next;
+	struct raft_pending_sync *done;
+	struct raft_pending_sync *next;
 
 	list_foreach_safe(done, next, &raft->tickets, node) {
 		if (done->ticket > ticket)
@@ -165,7 +168,7 @@
 		if (done->last_index > raft->synced_index)
 			raft->synced_index = done->last_index;
 		if (done->term == raft->term && raft->role == RAFT_CANDIDATE)
-			raft->self_vote = true;
+			raft->self_vote_granted = true;
 		list_remove(&done->node);
 		free(done);
 	}
@@ -178,13 +181,13 @@
 		raft_acknowledge(raft, now_us, effects);
 }
 
-/** End of each call: one sync for all that it wrote. */
+/** At the end of each call: request one sync for all that it wrote. */
 void raft_finish(struct raft *raft, int64_t now_us, struct effects *effects)
 {
-	if (raft->failed)
+	if (raft->disk_failed)
 		raft->dirty = false;
 	while (raft->dirty) {
-		struct raft_ticket *ticket = xcalloc(1, sizeof(*ticket));
+		struct raft_pending_sync *ticket = xcalloc(1, sizeof(*ticket));
 		int64_t last_index = raft_log_last(&raft->log);
 		int64_t number = ++raft->last_ticket;
 
@@ -198,7 +201,9 @@
 			effects_add(effects, EFFECT_LOG_SYNC)
 				->u.log_sync.ticket = number;
 		}
-		/* nothing to wait for without a disk: settled and freed */
+		/*
+		 * without a disk nothing has to be synced; this frees `ticket`
+		 */
 		if (!raft->options.self.disk)
 			raft_settle(raft, number, now_us, effects);
 		switch (raft->options.mutant) {
@@ -226,7 +231,7 @@
 void raft_synced(struct raft *raft, int64_t ticket, int64_t now_us,
 		 struct effects *effects)
 {
-	if (raft->failed)
+	if (raft->disk_failed)
 		return;
 	raft_settle(raft, ticket, now_us, effects);
 	raft_finish(raft, now_us, effects);
@@ -235,12 +240,12 @@
 void raft_disk_failed(struct raft *raft, enum result code, int64_t now_us,
 		      struct effects *effects)
 {
-	if (raft->failed)
+	if (raft->disk_failed)
 		return;
-	raft->failed = true;
+	raft->disk_failed = true;
 	raft_drop_waiting(raft);
 	raft_say(effects, LOG_ERROR,
-		 "%s: this VM votes and acknowledges nothing any more",
+		 "%s: this VM no longer votes or acknowledges entries",
 		 result_text(code));
 	if (raft->role != RAFT_FOLLOWER)
 		raft_become_follower(raft, raft->term, 0, now_us, effects);
--- a/libfilberthall/agree/raft_message.c
+++ b/libfilberthall/agree/raft_message.c
@@ -7,8 +7,8 @@
 #include "core/pack.h"
 
 /**
- * A message is a msgpack map from small numbers to values; what is 0 or empty
- * is left out, and a reader skips numbers that it doesn't know.
+ * A message is a msgpack map with small integer keys. Values that are 0 or
+ * empty are omitted, and unknown keys are skipped.
  */
 #define RAFT_KEY_LEADER 20
 #define RAFT_KEY_DATA 21
@@ -18,7 +18,7 @@
 #define RAFT_MAX_ENTRIES 65536
 #define RAFT_MAX_REPORTS MEMBER_MAX
 
-/** Whole numbers by their keys; the place in the table is the key. */
+/** The integer fields; the position in the table is the key. */
 static const size_t raft_numbers[] = {
 	offsetof(struct raft_message, kind),
 	offsetof(struct raft_message, term),
@@ -29,7 +29,7 @@
 	offsetof(struct raft_message, echo_us),
 	offsetof(struct raft_message, age_us),
 	offsetof(struct raft_message, match),
-	offsetof(struct raft_message, held),
+	offsetof(struct raft_message, received),
 	offsetof(struct raft_message, applied),
 	offsetof(struct raft_message, flags),
 	offsetof(struct raft_message, offset),
@@ -242,15 +242,15 @@
 		if (!raft_read_field(&root->via.map.ptr[i], message))
 			return false;
 	return message->kind >= RAFT_PREVOTE &&
-	       message->kind <= RAFT_FOLLOW_REFUSED && message->term >= 0 &&
+	       message->kind <= RAFT_SUBSCRIBE_REFUSED && message->term >= 0 &&
 	       message->index >= 0 && message->commit >= 0 &&
-	       message->match >= 0 && message->held >= 0 &&
+	       message->match >= 0 && message->received >= 0 &&
 	       message->offset >= 0 && message->age_us >= 0 &&
 	       message->applied >= 0 && message->total >= 0 &&
 	       message->total <= RAFT_MAX_SNAPSHOT_BYTES;
 }
 
-/** Read a message; false if malformed. Cleared by raft_message_clear(). */
+/** Decode a message; false if malformed. Free it with raft_message_clear(). */
 bool raft_message_decode(struct raft_message *message, const char *data,
 			 size_t len)
 {
--- a/libfilberthall/agree/raft_view.c
+++ b/libfilberthall/agree/raft_view.c
@@ -1,6 +1,6 @@
 #include "agree/raft_internal.h"
 
-/** What others may ask of Raft without changing it. */
+/** Queries that don't change the state. */
 
 #define RAFT_MILLION 1000000
 
@@ -21,12 +21,12 @@
 
 bool raft_is_voter(const struct raft *raft)
 {
-	return raft->self_votes;
+	return raft->self_is_voter;
 }
 
 bool raft_disk_has_failed(const struct raft *raft)
 {
-	return raft->failed;
+	return raft->disk_failed;
 }
 
 int64_t raft_term(const struct raft *raft)
@@ -75,9 +75,9 @@
 }
 
 /**
- * Voters wait election_us of their clocks before they elect another leader;
- * ours may run slow and theirs fast, so we trust the time only so far that
- * the worst case still fits.
+ * How long a quorum's answer allows lease reads. Voters wait election_us on
+ * their clocks before they elect another leader. Our clock may be slow and
+ * theirs fast, so the time is shortened for the worst case.
  */
 static int64_t raft_read_lease_us(const struct raft *raft)
 {
@@ -122,7 +122,7 @@
 
 	*members = raft->members.count;
 	list_foreach(peer, &raft->peers, node)
-		if (peer->member && peer->applied >= index)
+		if (peer->is_member && peer->applied >= index)
 			applied++;
 	return applied;
 }
--- a/libfilberthall/entry/entry_request.c
+++ b/libfilberthall/entry/entry_request.c
@@ -1,6 +1,6 @@
 /*
- * Callers' requests: who may run what, by the document in force; the rest is
- * the router's to decide.
+ * Callers' requests: checks routes and keys against the document in force and
+ * submits permitted requests to the router.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,29 +10,30 @@
 #include "entry/entry_state.h"
 #include "load/sched.h"
 
-/* Where neither the caller nor the route says how long it may take. */
+/* Deadline of requests where neither the caller nor the route sets one. */
 #define DEADLINE_MS 30000
 
-/* Another VM takes it at once; callers of this one mustn't come as a crowd. */
-#define STOPPING_RETRY_MS 50
+/*
+ * Another VM accepts the request immediately; the delay keeps this VM's callers
+ * from retrying all at once.
+ */
+#define STOPPING_RETRY_AFTER_MS 50
 
-/* Left between the end of the last request and that of a stopping process. */
+/* Margin between the last deadline and the end of a stopping process. */
 #define STOP_MARGIN_US INT64_C(500000)
 
 /*
- * Classes that the router keeps at once; it has room for 256. Each document
- * may bring new ones, and those that are in no use any more must go.
+ * Classes kept in the router, which has room for 256. Each document may add new
+ * ones, so those used least recently are removed.
  */
-#define CLASSES_MOST 240
+#define CLASSES_MAX 240
 
-/*
- * Ranks of organisations that a server tells apart among requests of one kind.
- */
+/* Organisation ranks distinguished in the priority at a server. */
 #define URGENCY_RANKS 3
 
 bool entry_is_fresh(const struct entry *entry, int64_t now_us)
 {
-	return now_us - entry->fresh_us < entry->options.fresh_us;
+	return now_us - entry->fresh_as_of_us < entry->options.max_staleness_us;
 }
 
 static bool call_match(const struct map_node *node, const void *key)
@@ -85,7 +86,7 @@
 	return true;
 }
 
-/** Answer at once that the request didn't run. */
+/** Refuses a request as not run. */
 void entry_refuse(struct entry *entry, const struct entry_request *request,
 		  enum result code, int64_t retry_after_ms)
 {
@@ -102,11 +103,11 @@
 		  request->name, result_name(code), request->host,
 		  request->path,
 		  (long long)(entry->document ? entry->document->version : 0),
-		  (long long)((entry->now_us - entry->fresh_us) / 1000),
+		  (long long)((entry->now_us - entry->fresh_as_of_us) / 1000),
 		  (long long)retry_after_ms);
 }
 
-static void class_forget_oldest(struct entry *entry)
+static void remove_oldest_class(struct entry *entry)
 {
 	struct entry_class *oldest =
 		list_first(&entry->classes, struct entry_class, node);
@@ -119,11 +120,11 @@
 }
 
 /*
- * The router's class for a tier and its targets. Routes with the same ones
- * share it: a document may have hundreds of routes.
+ * The router's class for a tier and a route's latency targets. Routes with the
+ * same targets share one class: a document may have hundreds of routes.
  */
-static const struct class_rule *class_of(struct entry *entry,
-					 const struct route *route, int tier)
+static const struct class_rule *
+find_or_add_class(struct entry *entry, const struct route *route, int tier)
 {
 	struct class_rule rule = { .tier = tier };
 	struct entry_class *class;
@@ -140,8 +141,8 @@
 		list_append(&entry->classes, &class->node);
 		return &class->rule;
 	}
-	if (entry->n_classes == CLASSES_MOST)
-		class_forget_oldest(entry);
+	if (entry->n_classes == CLASSES_MAX)
+		remove_oldest_class(entry);
 	class = xcalloc(1, sizeof(*class));
 	class->rule = rule;
 	list_append(&entry->classes, &class->node);
@@ -152,10 +153,10 @@
 }
 
 /*
- * An organisation's rank goes before the route's; among its own requests the
- * route's decides. By its rank alone the routes of one organisation would be
- * equal, and under load those with the tightest goals would be refused first,
- * the more urgent ones among them.
+ * Requests are ordered by the organisation's rank and then by the route's tier.
+ * With the organisation's rank alone all routes of one organisation would be
+ * equal, and under load those with the tightest targets would be refused first,
+ * although they are the more urgent ones.
  */
 static int call_tier(const struct route *route,
 		     const struct document_organisation *holder)
@@ -167,10 +168,10 @@
 }
 
 /*
- * How urgent the server shall take the request to be: by its kind first, then
- * by its organisation's rank. A server that runs out of memory stops what is
- * least urgent; with the rank first it would stop short streams and read on
- * long prompts that can wait.
+ * Priority of a request at the server: the route's tier first, then the
+ * organisation's rank. A server that runs out of memory stops the least urgent
+ * requests; with the rank first it would stop short streams and continue the
+ * prefill of long prompts that can wait.
  */
 static int call_urgency(const struct route *route,
 			const struct document_organisation *holder)
@@ -182,9 +183,9 @@
 	return route->tier * URGENCY_RANKS + rank;
 }
 
-/* How long the caller waits, and the route lets it wait, at most. */
-static int64_t wait_of_us(const struct entry_request *request,
-			  const struct route *route)
+/* Longest wait, by the caller's deadline and the route's time-out. */
+static int64_t wait_limit_us(const struct entry_request *request,
+			     const struct route *route)
 {
 	int64_t wait_ms = route->timeout_ms;
 
@@ -196,20 +197,21 @@
 }
 
 /*
- * Planned stops of several VMs of a zone at once leave its callers no other VM:
- * the balancer sends them to those that stop. A request whose own time ends
- * before this process does is in no danger here, and was refused again and
- * again until its caller gave up.
+ * Planned stops of several VMs of a zone at the same time leave its callers no
+ * other VM: the balancer sends them to the stopping ones. A request whose
+ * deadline is before the end of the process can complete here; such requests
+ * were refused again and again until their callers gave up.
  */
-static bool stops_too_soon(const struct entry *entry,
-			   const struct entry_request *request,
-			   const struct route *route)
+static bool exceeds_stop_deadline(const struct entry *entry,
+				  const struct entry_request *request,
+				  const struct route *route)
 {
-	int64_t ends_us = entry->now_us + wait_of_us(request, route);
+	int64_t ends_us = entry->now_us + wait_limit_us(request, route);
 
-	return entry->stop_us &&
-	       entry->now_us - entry->stop_us >= ENTRY_STOP_TAKES_US &&
-	       ends_us + STOP_MARGIN_US > entry->stop_by_us;
+	return entry->stop_requested_us &&
+	       entry->now_us - entry->stop_requested_us >=
+		       ENTRY_STOP_ACCEPT_US &&
+	       ends_us + STOP_MARGIN_US > entry->stop_deadline_us;
 }
 
 static struct open_call *call_new(struct entry *entry,
@@ -227,7 +229,7 @@
 	call->tier = call_tier(route, holder);
 	call->urgency = call_urgency(route, holder);
 	call->arrived_us = entry->now_us;
-	call->deadline_us = entry->now_us + wait_of_us(request, route);
+	call->deadline_us = entry->now_us + wait_limit_us(request, route);
 	map_insert(&entry->calls, &call->node,
 		   map_hash(&call->id, sizeof(call->id)));
 	return call;
@@ -240,7 +242,8 @@
 {
 	struct open_call *call = call_new(entry, request, route, holder);
 	const char *service = route_choose(route, rng_unit(&entry->rng));
-	const struct class_rule *rule = class_of(entry, route, call->tier);
+	const struct class_rule *rule =
+		find_or_add_class(entry, route, call->tier);
 	struct router_request ask = {
 		.id = request->id,
 		.organisation = call->organisation,
@@ -269,14 +272,14 @@
 		  "wait_ms=%lld",
 		  request->name, route->name, service, call->organisation,
 		  call->tier, (long long)entry->document->version,
-		  (long long)((entry->now_us - entry->fresh_us) / 1000),
+		  (long long)((entry->now_us - entry->fresh_as_of_us) / 1000),
 		  (long long)request->prompt_tokens,
 		  (long long)request->output_tokens,
 		  (long long)((call->deadline_us - entry->now_us) / 1000));
 	router_submit(entry->router, &ask, entry->now_us, entry->effects);
 }
 
-/** By the document in force: refuse the request, or hand it to the router. */
+/** Refuses a request by the document in force, or submits it to the router. */
 void entry_decide(struct entry *entry, const struct entry_request *request)
 {
 	const struct document *document = entry->document;
@@ -288,14 +291,15 @@
 		entry_refuse(entry, request, RESULT_NO_ROUTE, 0);
 		return;
 	}
-	if (stops_too_soon(entry, request, route)) {
+	if (exceeds_stop_deadline(entry, request, route)) {
 		entry_refuse(entry, request, RESULT_STOPPING,
-			     STOPPING_RETRY_MS);
+			     STOPPING_RETRY_AFTER_MS);
 		return;
 	}
 	if (document->n_organisations && !route->open) {
 		if (request->key)
-			holder = document_holder(document, request->key);
+			holder = document_organisation_by_key(document,
+							      request->key);
 		if (!holder) {
 			entry_refuse(entry, request,
 				     request->key ? RESULT_KEY_UNKNOWN
@@ -308,8 +312,8 @@
 }
 
 /**
- * A VM that may not have heard of the newest document can't tell that
- * something isn't there, nor that a key still holds.
+ * Whether requests can be decided on. A VM that may have missed the newest
+ * document can't know that a route doesn't exist or that a key is still valid.
  */
 bool entry_can_decide(const struct entry *entry)
 {
@@ -323,45 +327,45 @@
 	entry->effects = effects;
 	if (entry_can_decide(entry))
 		entry_decide(entry, request);
-	else if (!entry_park(entry, request))
+	else if (!entry_defer(entry, request))
 		entry_refuse(entry, request, RESULT_STALE,
-			     ENTRY_STALE_RETRY_MS);
+			     ENTRY_STALE_RETRY_AFTER_MS);
 }
 
 static void histogram_add(struct entry_histogram *histogram, int64_t ms)
 {
-	int64_t bound = ENTRY_BUCKET_FIRST_MS;
+	int64_t bound = ENTRY_FIRST_BUCKET_MS;
 	int i;
 
 	for (i = 0; i < ENTRY_BUCKETS - 1 && ms > bound; i++)
 		bound *= 2;
 	histogram->buckets[i]++;
-	histogram->n++;
+	histogram->count++;
 	histogram->sum_ms += ms;
 }
 
-static void note_times(struct entry *entry,
-		       const struct router_outcome *outcome)
+static void record_latency(struct entry *entry,
+			   const struct router_outcome *outcome)
 {
 	int64_t first_us = outcome->first_token_us ? outcome->first_token_us
 						   : outcome->ended_us;
 
 	if (outcome->code)
 		return;
-	histogram_add(&entry->totals.first,
+	histogram_add(&entry->totals.time_to_first,
 		      (first_us - outcome->arrived_us) / 1000);
-	histogram_add(&entry->totals.whole,
+	histogram_add(&entry->totals.total_time,
 		      (outcome->ended_us - outcome->arrived_us) / 1000);
 }
 
-void entry_finished(void *data, const struct router_outcome *outcome)
+void entry_request_finished(void *data, const struct router_outcome *outcome)
 {
 	struct entry *entry = data;
 	struct open_call *call = call_find(entry, outcome->id);
 
 	if (!call)
 		return;
-	note_times(entry, outcome);
+	record_latency(entry, outcome);
 	if (outcome->code == RESULT_OK)
 		entry->totals.served++;
 	else if (outcome->run == RUN_NOT)
@@ -388,23 +392,26 @@
 	call_free(entry, call);
 }
 
-/* A request counts once, in the window in which it began. */
-static void count_begun(struct entry *entry, uint64_t id)
+/* Counts a request once, in the usage window in which it started. */
+static void count_started(struct entry *entry, uint64_t id)
 {
 	struct open_call *call = call_find(entry, id);
 	int64_t wall_us = wall_time_us(&entry->wall, entry->now_us);
 
-	if (!call || call->begun || !call->organisation[0] || !wall_us)
+	if (!call || call->usage_counted || !call->organisation[0] || !wall_us)
 		return;
-	call->begun = true;
+	call->usage_counted = true;
 	presumed_drop(&entry->presumed, id);
 	begun_add(&entry->begun, wall_us / entry->options.window_us,
 		  call->organisation);
 }
 
-/* Its server broke off without an answer: did it run? */
-static void presume_begun(struct entry *entry,
-			  const struct event_attempt_ended *ended)
+/*
+ * The server closed the connection without an answer: whether the request ran
+ * is decided later, by whether the server is still alive.
+ */
+static void add_presumed(struct entry *entry,
+			 const struct event_attempt_ended *ended)
 {
 	const struct open_call *call = call_find(entry, ended->id);
 	int64_t wall_us = wall_time_us(&entry->wall, entry->now_us);
@@ -412,7 +419,8 @@
 	const struct registry_entry *server = NULL;
 	struct router_attempt_view attempt;
 
-	if (!call || call->begun || !call->organisation[0] || !wall_us ||
+	if (!call || call->usage_counted || !call->organisation[0] ||
+	    !wall_us ||
 	    !router_attempt(entry->router, ended->id, ended->attempt,
 			    entry->now_us, &attempt) ||
 	    !presumed_possible((enum result)ended->code, ended->sent,
@@ -434,29 +442,30 @@
 	struct open_call *call = call_find(entry, request);
 
 	if (call)
-		call->begun = true;
+		call->usage_counted = true;
 	begun_add(&entry->begun, window, organisation);
 }
 
-void entry_count_presumed(struct entry *entry)
+void entry_resolve_presumed(struct entry *entry)
 {
 	presumed_tick(&entry->presumed, &entry->registry, entry->now_us,
 		      count_presumed, entry);
 }
 
-void entry_tokens(struct entry *entry,
-		  const struct event_attempt_tokens *tokens, int64_t now_us,
-		  struct effects *effects)
+void entry_attempt_tokens(struct entry *entry,
+			  const struct event_attempt_tokens *tokens,
+			  int64_t now_us, struct effects *effects)
 {
 	entry->now_us = now_us;
 	entry->effects = effects;
 	if (tokens->first)
-		count_begun(entry, tokens->id);
+		count_started(entry, tokens->id);
 	router_tokens(entry->router, tokens, now_us, effects);
 }
 
-void entry_ended(struct entry *entry, const struct event_attempt_ended *ended,
-		 int64_t now_us, struct effects *effects)
+void entry_attempt_ended(struct entry *entry,
+			 const struct event_attempt_ended *ended,
+			 int64_t now_us, struct effects *effects)
 {
 	const struct open_call *call = call_find(entry, ended->id);
 
@@ -464,9 +473,9 @@
 	entry->effects = effects;
 	entry->totals.attempts++;
 	if (ended->http_status && ended->sent)
-		count_begun(entry, ended->id);
+		count_started(entry, ended->id);
 	else
-		presume_begun(entry, ended);
+		add_presumed(entry, ended);
 	if (call && ended->code)
 		entry_log(entry, LOG_INFO, "attempt",
 			  "event=failed request=%s attempt=%lld code=%s "
@@ -483,12 +492,13 @@
 {
 	entry->now_us = now_us;
 	entry->effects = effects;
-	if (!entry_drop_parked(entry, id))
+	if (!entry_drop_deferred(entry, id))
 		router_caller_left(entry->router, id, now_us, effects);
 }
 
-void entry_load(struct entry *entry, const char *address, int64_t running,
-		int64_t waiting, int64_t slots, int64_t now_us)
+void entry_report_load(struct entry *entry, const char *address,
+		       int64_t running, int64_t waiting, int64_t slots,
+		       int64_t now_us)
 {
 	struct backend *backend = fleet_find(&entry->fleet, address);
 
