--- a/libfilberthall/load/place.h
+++ b/libfilberthall/load/place.h
@@ -22,8 +22,8 @@
  *   engine that goes moves only its own parts, and one that comes takes only
  *   what becomes its own.
  * - Another engine is taken only if the home is so far behind that reading the
- *   part anew is quicker by PLACE_RECOMPUTE_FACTOR times: it also costs those who are
- *   served there.
+ *   part anew is quicker by PLACE_RECOMPUTE_FACTOR times: it also costs those
+ *   who are served there.
  * - Where several are as good, each request draws one, by its part if it has
  *   one: what spills over from a busy home then meets where the part was read.
  *   Without that all VMs take the same one of equals, and second tries meet on
