--- a/tests/agreed/t-apply.c
+++ b/tests/agreed/t-apply.c
@@ -10,9 +10,9 @@
 #include "usage/window.h"
 
 /*
- * The one in charge is replaced after it placed an order and before the
- * platform answered. Its successor must find the order, and place it again
- * under the same id without making a second one of it.
+ * The lease holder is replaced after it placed an order and before the
+ * platform answered. The new one must find the order and place it again under
+ * the same id without creating a second order.
  */
 static void successor_finds_the_order_that_was_placed(void)
 {
@@ -49,8 +49,9 @@
 }
 
 /*
- * Two daemons that both believe they are in charge commit figures for one
- * window. The first stand; the second must learn so and report nothing else.
+ * Two daemons that both believe they hold the lease commit figures for one
+ * window. The first figures stay; the second daemon must be refused and report
+ * nothing else.
  */
 static void first_figures_of_a_window_stand(void)
 {
@@ -139,8 +140,8 @@
 }
 
 /*
- * An entry damaged anywhere must be told as malformed or be applied as the
- * entry that it then is, and a damaged snapshot must leave the state alone.
+ * A damaged entry must be rejected as malformed or be applied as the valid
+ * entry that it became; a damaged snapshot must not change the state.
  */
 static void damaged_entries_and_snapshots_are_told(void)
 {
--- a/tests/agreed/t-claim.c
+++ b/tests/agreed/t-claim.c
@@ -54,9 +54,9 @@
 }
 
 /*
- * A driver lodges a movement; the answer is lost on the way and the phone
- * sends again, through another VM, while the first still runs and after it
- * ended. The register must see it once, and the driver get the first answer.
+ * The answer to a non-repeatable call is lost and the caller sends it again
+ * through another VM, while the first still runs and after it ended. The
+ * service must receive it once, and the caller must get the first answer.
  */
 static void resend_meets_the_running_and_the_kept_answer(void)
 {
@@ -83,9 +83,9 @@
 }
 
 /*
- * The VM that sent a request dies before the answer came. No one knows
- * whether it ran: a resend must hear "unknown" and never run it again, also
- * when the VM was only paused and wakes up later with the answer.
+ * The VM that sent a request dies before the answer arrives, so its outcome is
+ * unknown. A resend must be answered "unknown" and never run, even if the VM
+ * was only paused and later resumes with the answer.
  */
 static void owner_that_died_after_sending_leaves_unknown(void)
 {
--- a/tests/agreed/t-key.c
+++ b/tests/agreed/t-key.c
@@ -57,9 +57,9 @@
 }
 
 /*
- * A key is withdrawn while its callers are connected, and the VM restarts
- * from a snapshot afterwards. The key must not work again, and the reducer
- * must hear of it so that open streams end.
+ * A key is withdrawn while its callers are connected, and the VM restarts from
+ * a snapshot. The key must stay invalid, and the reducer must be notified so
+ * that open streams end.
  */
 static void withdrawn_key_stays_withdrawn(void)
 {
@@ -188,8 +188,8 @@
 }
 
 /*
- * Letter 1 asks for 4,500 organisations in 128 MB with everything else: two
- * keys each must stay far below that.
+ * A site has up to 4,500 organisations and 128 MB of memory in all: two keys
+ * for each organisation must stay far below that.
  */
 static void keys_of_4500_organisations_are_small(void)
 {
