--- a/libfilberthall/core/autoscaler.c
+++ b/libfilberthall/core/autoscaler.c
@@ -95,7 +95,7 @@
 	step.is_service = backend->service[0];
 	step.zone = backend->zone;
 	step.cheap = backend->cheap;
-	core_log(core, LOG_INFO, "charge", "order: stop %s", address);
+	core_log(core, LOG_INFO, "charge", "ordering the stop of %s", address);
 	orders_place(core->orders, &situation, &step);
 }
 
@@ -142,7 +142,7 @@
 	if (demand_read(core->demand, member, data, len, core->now_us,
 			autoscaler_count_served, core))
 		core_log(core, LOG_WARN, "charge",
-			 "demand of member %llx can't be read",
+			 "malformed demand message from member %llx",
 			 (unsigned long long)member);
 }
 
@@ -168,8 +168,8 @@
 			       int64_t in_us)
 {
 	core_log(core, LOG_WARN, "charge",
-		 "cheap backend servers of %s are reclaimed in %lld ms", zone,
-		 (long long)(in_us / 1000));
+		 "cheap backend servers in %s will be reclaimed in %lld ms",
+		 zone, (long long)(in_us / 1000));
 	reclaims_notice(core->reclaims, &core->fleet, zone, in_us,
 			core->now_us);
 	target_reclaimed(core->target, zone, core->now_us);
@@ -256,14 +256,14 @@
 	struct order_situation situation = autoscaler_order_situation(core);
 
 	if (!step->start) {
-		core_log(core, LOG_INFO, "charge", "plan: stop %s",
-			 step->address);
+		core_log(core, LOG_INFO, "charge",
+			 "draining %s before its stop", step->address);
 		drains_begin(core->drains, &core->fleet, step->address,
 			     core->now_us);
 		return;
 	}
 	core_log(core, LOG_INFO, "charge",
-		 "order: start a %s server of %s in %s",
+		 "ordering the start of a %s backend server for %s in %s",
 		 step->cheap ? "cheap" : "steady", step->pool, step->zone);
 	orders_place(core->orders, &situation, step);
 }
@@ -317,7 +317,7 @@
 
 	if (in_charge != core->holds_lease) {
 		core_log(core, LOG_INFO, "charge", "%s",
-			 in_charge ? "in charge" : "no longer in charge");
+			 in_charge ? "acquired the lease" : "lost the lease");
 		orders_reset(core->orders);
 		core->offers_requested_us = 0;
 		core->planned_us = 0;
--- a/libfilberthall/core/billing.c
+++ b/libfilberthall/core/billing.c
@@ -103,7 +103,7 @@
 
 	if (usage_receive(core->usage, peer, body, core->now_us, &reply))
 		core_log(core, LOG_WARN, "usage",
-			 "a message of member %llx can't be read",
+			 "malformed usage message from member %llx",
 			 (unsigned long long)peer);
 	if (reply.len)
 		peers_send(core, peer, LINK_USAGE, &reply);
@@ -126,7 +126,7 @@
 		return;
 	if (!accepted)
 		core_log(core, LOG_ERROR, "usage",
-			 "the platform refused the figures of window %lld",
+			 "the platform refused the report of window %lld",
 			 (long long)window);
 	head = consensus_head(core);
 	entry_window_settled(&entry, &head, window, accepted);
--- a/libfilberthall/core/consensus.c
+++ b/libfilberthall/core/consensus.c
@@ -9,7 +9,7 @@
 #include "base/alloc.h"
 #include "core/core_state.h"
 
-/* Time after which the proposal of a new site's first settings is given up. */
+/* Timeout of the proposal of a new site's first settings. */
 #define CONSENSUS_SEED_TIMEOUT_US INT64_C(60000000)
 
 /*
@@ -132,7 +132,7 @@
 		     committed->index, &applied);
 	if (applied.code == RESULT_MESSAGE_MALFORMED)
 		core_log(core, LOG_ERROR, "consensus",
-			 "entry %lld can't be read; it changes nothing",
+			 "malformed log entry %lld ignored",
 			 (long long)committed->index);
 	list_foreach(change, &applied.changes, node)
 		consensus_apply_change(core, change);
@@ -236,7 +236,7 @@
 	keys_visit(agreed_keys(core->agreed), consensus_add_key, &keys);
 	if (agreed_restore(core->agreed, committed->data, committed->len)) {
 		core_log(core, LOG_ERROR, "consensus",
-			 "snapshot at %lld can't be read; it is not taken",
+			 "malformed snapshot at index %lld ignored",
 			 (long long)committed->index);
 	} else {
 		settings = agreed_settings(core->agreed);
@@ -310,7 +310,7 @@
 
 /*
  * On the leader: closes the claims of unreachable owners as unknown, so that
- * callers' resends get that answer in place of "running" for ever.
+ * a caller's resend is answered "unknown" instead of "running" indefinitely.
  */
 static void consensus_expire_claim_owners(struct core *core)
 {
@@ -330,7 +330,7 @@
 		if (!owner.incarnation)
 			continue;
 		core_log(core, LOG_WARN, "consensus",
-			 "%s is silent: what it claimed is unknown",
+			 "%s is unreachable: its open claims become unknown",
 			 members->items[i].vm);
 		head = consensus_head(core);
 		entry_owner_gone(&entry, &head, &owner);
--- a/libfilberthall/core/core.c
+++ b/libfilberthall/core/core.c
@@ -16,7 +16,7 @@
 /* Interval of metrics, membership policy and the expiry of claim owners. */
 #define CORE_SLOW_TICK_US 1000000
 
-/* Half of Raft's heartbeat between voters. */
+/* Half of Raft's heartbeat interval between voters. */
 #define CORE_TICK_US 50000
 
 void core_log(struct core *core, enum log_level level, const char *module,
@@ -197,7 +197,7 @@
 	}
 	core->stop_deadline_us = core->now_us + stop->grace_ms * 1000;
 	core_log(core, LOG_INFO, "core",
-		 "stopping: no new requests, %lld running",
+		 "stopping: refusing new requests, %lld still running",
 		 (long long)router_load(core->router));
 	router_drain(core->router, core->now_us);
 	raft_transfer(core->raft, core->now_us, core->effects);
@@ -219,7 +219,7 @@
 		return;
 	core->exited = true;
 	core_log(core, done ? LOG_INFO : LOG_WARN, "core",
-		 done ? "all is done, exit" : "grace is over, exit");
+		 done ? "shutdown complete" : "grace period over, exiting");
 	effects_add(core->effects, EFFECT_EXIT);
 }
 
@@ -229,9 +229,10 @@
 	bool second = core->now_us - core->slow_tick_us >= CORE_SLOW_TICK_US;
 
 	if (healthy != core->healthy)
-		core_log(core, healthy ? LOG_INFO : LOG_WARN, "core",
-			 healthy ? "healthy"
-				 : "not healthy: the balancer shall pass by");
+		core_log(
+			core, healthy ? LOG_INFO : LOG_WARN, "core",
+			healthy ? "healthy"
+				: "unhealthy: the load balancer should send no requests");
 	if (healthy == core->healthy && !second && core->published)
 		return;
 	core->healthy = healthy;
@@ -266,7 +267,7 @@
 		break;
 	case EVENT_REQUEST:
 		request_arrived(core, event);
-		return; /* the request keeps its event */
+		return; /* the request owns its event now */
 	case EVENT_CALLER_LEFT:
 		request_caller_left(core, event->u.caller_left.id);
 		break;
--- a/libfilberthall/core/core.h
+++ b/libfilberthall/core/core.h
@@ -29,18 +29,18 @@
 	const char *zone;
 	const char *address; /**< IP:port of its links */
 	bool disk;	     /**< has a data folder */
-	bool platform;	     /**< there is a platform to give orders to */
-	bool bootstrap;	     /**< found a new site if the folder is empty */
+	bool platform;	     /**< a platform accepts orders */
+	bool bootstrap;	     /**< create a new site if the folder is empty */
 	struct bytes seed_values;  /**< JSON {PATH: value}, or empty */
 	const char *seed_key_hash; /**< first operator's key, or NULL */
 };
 
 /**
- * A daemon's state at its start.
+ * Create a daemon's core.
  *
- * @param saved	what the data folder holds; zeroed without one
+ * @param saved	state read from the data folder; zeroed without one
  * @param now_us	monotonic time
- * @return RESULT_OK, or RESULT_LOG_DAMAGED if `saved` makes no sense
+ * @return RESULT_OK, or RESULT_LOG_DAMAGED if `saved` is inconsistent
  */
 enum result core_new(struct core **core, const struct core_options *options,
 		     const struct raft_persistent_state *saved, int64_t now_us,
--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -36,15 +36,15 @@
 
 /** Progress of a caller's request. */
 enum request_state {
-	REQUEST_CLAIMING,	/**< its claim is on the way to the log */
-	REQUEST_AWAITING_CLAIM, /**< another arrival of it is running */
+	REQUEST_CLAIMING,	/**< its claim has been proposed */
+	REQUEST_AWAITING_CLAIM, /**< the same call is running elsewhere */
 	REQUEST_ROUTED,		/**< with the router */
 };
 
 struct caller_request {
 	struct map_node node; /**< core.requests, by id */
 	struct list
-		claim_waiters_node; /**< core.claim_waiters, while its claim isn't its own */
+		claim_waiters_node; /**< core.claim_waiters, until its claim is granted */
 	struct event *event; /**< EVENT_REQUEST, owned */
 	enum request_state state;
 	char *key_id;
@@ -64,29 +64,29 @@
 	uint64_t id;
 	char *zone;
 	bool up;
-	bool opened; /**< a LINK_OPEN was asked for */
+	bool opened; /**< a LINK_OPEN effect was added */
 };
 
-/** An entry that this daemon wants in the log. */
+/** A log entry that this daemon has proposed. */
 struct proposal {
 	struct list node;
 	uint64_t ticket;
 	struct bytes entry;
-	uint64_t admin_id; /**< operator's call that waits for it, or 0 */
+	uint64_t admin_id; /**< operator's call to answer afterwards, or 0 */
 	int64_t sent_us;
 	int64_t expires_us;
-	int64_t index; /**< as leader: where it was appended, else 0 */
+	int64_t index; /**< on the leader: its log index, else 0 */
 	int64_t term;
 };
 
 /** An operator's call that waits for the leader or for all daemons. */
 struct pending_call {
 	struct list node;
-	uint64_t id;	    /**< of the listener, or a forwarded ticket */
-	uint64_t peer;	    /**< whom to answer, 0 for this listener */
+	uint64_t id;	    /**< listener's id, or the forwarder's ticket */
+	uint64_t peer;	    /**< where to send the answer, 0: own listener */
 	uint64_t ticket;    /**< of a call sent to the leader, else 0 */
-	uint64_t leader;    /**< whom it was sent to */
-	int64_t wait_index; /**< settings-wait: to be applied on all */
+	uint64_t leader;    /**< member id that it was sent to */
+	int64_t wait_index; /**< settings-wait: index that all must apply */
 	int64_t started_us;
 	int64_t expires_us;
 };
@@ -114,27 +114,27 @@
 	struct list pending_calls;
 	uint64_t next_ticket;
 	uint64_t claim_owner; /**< incarnation under which claims are opened */
-	uint64_t router_leader;	     /**< leader that the router knows of */
-	int64_t links_members_index; /**< index of the configuration acted upon */
-	int64_t peers_version;	     /**< grows as peers come and go */
+	uint64_t router_leader;	     /**< leader last passed to the router */
+	int64_t links_members_index; /**< membership that the links match */
+	int64_t peers_version; /**< increases when a link comes up or goes down */
 	int64_t router_peers_version;
 	int64_t wall_us;
-	int64_t slow_tick_us;	     /**< when the slow duties ran last */
-	int64_t demand_sent_us;	     /**< when demand was last told */
-	int64_t digest_sent_us;	     /**< when figures were last passed on */
-	int64_t offers_requested_us; /**< when offers were last asked for */
+	int64_t slow_tick_us;	     /**< last run of the slow periodic work */
+	int64_t demand_sent_us;	     /**< when demand was last sent */
+	int64_t digest_sent_us;	     /**< when the last digest was sent */
+	int64_t offers_requested_us; /**< when offers were last requested */
 	int64_t planned_us;	     /**< when the fleet was last planned */
 	bool holds_lease;	     /**< at the last tick */
-	uint64_t window_ticket;	     /**< of the last window proposed */
+	uint64_t window_ticket;	     /**< of the last proposed window */
 	int64_t stop_deadline_us;    /**< 0 unless stopping */
 	bool seeded;
-	bool fleet_updated; /**< the router has still to look again */
+	bool fleet_updated; /**< the router hasn't processed the change yet */
 	bool exited;
 	bool leader;
 	bool healthy;
 	bool published;
-	struct effects *effects; /**< of the step that runs */
-	int64_t now_us;		 /**< of the step that runs */
+	struct effects *effects; /**< of the current step */
+	int64_t now_us;		 /**< of the current step */
 };
 
 /* request.c: callers' requests */
@@ -164,7 +164,7 @@
 		 const char *name, int64_t start_us, enum result code,
 		 const char *detail);
 
-/* consensus.c: the log and what comes out of it */
+/* consensus.c: applies committed entries */
 void consensus_start(struct core *core);
 void consensus_apply_committed(struct core *core);
 void consensus_tick(struct core *core);
@@ -172,7 +172,7 @@
 bool consensus_is_fresh(const struct core *core);
 struct entry_head consensus_head(struct core *core);
 
-/* propose.c: entries on their way into the log */
+/* propose.c: proposes log entries */
 struct proposal *propose_entry(struct core *core, uint64_t ticket,
 			       struct bytes *entry, int64_t give_up_us);
 void propose_retry(struct core *core);
@@ -209,14 +209,14 @@
 void operator_answer(struct core *core, uint64_t peer, uint64_t id,
 		     enum result code, json_t *body);
 
-/* status.c: what operators and monitoring read */
+/* status.c: status for operators and monitoring */
 json_t *status_describe(struct core *core);
 json_t *status_backends(struct core *core);
 json_t *status_members(struct core *core);
 json_t *status_usage(struct core *core);
 void status_publish(struct core *core);
 
-/* gossip.c: the fleet as all daemons know it */
+/* gossip.c: replicates the fleet's state between daemons */
 void gossip_announce(struct core *core, const struct event_announce *announce);
 void gossip_cache(struct core *core, const struct event_cache *cache);
 void gossip_demand(struct core *core, uint64_t leader,
@@ -262,10 +262,10 @@
 json_t *autoscaler_describe_spend(const struct core *core);
 json_t *autoscaler_describe_drains(const struct core *core);
 
-/* autoscaler_settings.c: what the settings say of the fleet */
+/* autoscaler_settings.c: the fleet's settings */
 void autoscaler_read_settings(struct core *core);
 
-/** This daemon as a member. */
+/** Describe this daemon as a member. */
 void core_fill_member(const struct core *core, struct member *member);
 
 /** Log a line; all but level, module and format may be NULL or 0. */
--- a/libfilberthall/core/demand.c
+++ b/libfilberthall/core/demand.c
@@ -14,7 +14,7 @@
 	struct demand_sum sum;
 };
 
-/* Requests of a team that ended here since the last message. */
+/* A team's requests that ended on this daemon since the last message. */
 struct demand_team {
 	struct list node;
 	char name[RULE_NAME_SIZE];
--- a/libfilberthall/core/demand.h
+++ b/libfilberthall/core/demand.h
@@ -15,7 +15,7 @@
  * Demand of all daemons, summed up by the lease holder, and the requests that
  * each team had served. Each daemon sends its own figures every two seconds. A
  * daemon's figures expire after DEMAND_TTL_US, so that the demand of one that
- * died isn't planned for any longer.
+ * failed doesn't influence the plan any more.
  */
 #define DEMAND_TTL_US INT64_C(6000000)
 
@@ -37,17 +37,17 @@
 			  bool attained);
 
 /**
- * This daemon's pools and its teams' counts since the last call, as a
- * message.
+ * Write a message with this daemon's pools and its teams' counts since the
+ * last call.
  */
 void demand_write(struct demand *demand, const struct router *router,
 		  struct bytes *out);
 
 /**
- * Take a daemon's message in. `served` gets each team's requests and how
- * many of them attained their targets.
+ * Process another daemon's message. `served` is called with each team's
+ * requests and how many of them attained their targets.
  *
- * Returns RESULT_OK or RESULT_MESSAGE_MALFORMED (nothing is taken over).
+ * Returns RESULT_OK or RESULT_MESSAGE_MALFORMED (no state changes).
  */
 enum result demand_read(struct demand *demand, uint64_t member,
 			const char *data, size_t len, int64_t now_us,
--- a/libfilberthall/core/effect.h
+++ b/libfilberthall/core/effect.h
@@ -43,16 +43,16 @@
 		EFFECT_KINDS
 };
 
-/** End a caller's request: a refusal, or an answer kept earlier. */
+/** End a caller's request with a refusal or a stored answer. */
 struct effect_answer {
 	uint64_t id;
 	int64_t code;		/**< enum result */
 	int64_t run;		/**< enum run_state */
-	int64_t retry_after_ms; /**< 0 if waiting doesn't help */
-	char *message;		/**< more than the code's text, or NULL */
-	int64_t http_status;	/**< of a kept answer, else 0 */
-	char *content_type;	/**< of a kept answer */
-	struct bytes body;	/**< of a kept answer */
+	int64_t retry_after_ms; /**< 0 if a retry wouldn't succeed */
+	char *message;		/**< details beyond the code's text, or NULL */
+	int64_t http_status;	/**< of a stored answer, else 0 */
+	char *content_type;	/**< of a stored answer */
+	struct bytes body;	/**< of a stored answer */
 };
 
 /** Send a request to a backend server and pass the answer to the caller. */
@@ -64,14 +64,14 @@
 	int64_t priority; /**< tier: 0 is the highest */
 	int64_t connect_ms;
 	int64_t first_byte_ms;
-	int64_t idle_ms;       /**< between two pieces of the answer */
-	int64_t resume_tokens; /**< tokens the caller has already had */
-	bool proven;	       /**< only over a connection just opened */
-	bool keep_answer;      /**< hand the whole answer back to the core */
-	int64_t keep_limit;    /**< bytes of it at most */
+	int64_t idle_ms;       /**< longest pause between two reads */
+	int64_t resume_tokens; /**< tokens already delivered to the caller */
+	bool proven;	       /**< open a new connection, reuse none */
+	bool keep_answer;      /**< return the complete answer to the core */
+	int64_t keep_limit;    /**< largest answer to return, bytes */
 };
 
-/** End an attempt; an "attempt-ended" follows in any case. */
+/** Cancel an attempt; an "attempt-ended" event always follows. */
 struct effect_cancel_attempt {
 	uint64_t id;
 	int64_t attempt;
@@ -91,7 +91,7 @@
 	struct bytes body;
 };
 
-/** Keep a link to this member up from now on. */
+/** Open a link to this member and reopen it whenever it fails. */
 struct effect_link_open {
 	uint64_t peer;
 	char *name;
@@ -110,25 +110,25 @@
 	struct bytes body;
 };
 
-/** Drop all entries from `index` on. */
+/** Remove all log entries from `index` on. */
 struct effect_log_truncate {
 	int64_t index;
 };
 
-/** Raft's term and vote. */
+/** Persist Raft's term and vote. */
 struct effect_hard_state {
 	int64_t term;
 	uint64_t vote; /**< member id, 0 for none */
 };
 
-/** Keep a snapshot; entries up to `index` may then be dropped. */
+/** Store a snapshot; entries up to `index` may be removed afterwards. */
 struct effect_snapshot {
 	int64_t index;
 	int64_t term;
 	struct bytes body;
 };
 
-/** Sync all writes so far, then answer with "synced" and this ticket. */
+/** Sync all earlier writes, then send a "synced" event with this ticket. */
 struct effect_log_sync {
 	int64_t ticket;
 };
@@ -150,9 +150,9 @@
 	char *order_id;
 	char *verb; /**< "start", "stop", "list", "report" */
 	int64_t fence;
-	int64_t timeout_ms; /**< the call is given up then for good */
-	int64_t until_us;  /**< never on its way later than this, 0: no bound */
-	struct bytes body; /**< JSON arguments */
+	int64_t timeout_ms; /**< the call is aborted after it */
+	int64_t until_us;   /**< not sent after this time, 0: no limit */
+	struct bytes body;  /**< JSON arguments */
 };
 
 /** An order to an engine: load, unload, role, cancel, export, import. */
@@ -165,9 +165,9 @@
 	struct bytes body; /**< JSON arguments */
 };
 
-/** State that the edge threads look up has changed; replaces their view. */
+/** Replaces the state that the edge threads serve to their clients. */
 struct effect_publish {
-	bool healthy;	      /**< what /healthz says */
+	bool healthy;	      /**< result of /healthz */
 	struct bytes models;  /**< JSON answer of GET /v1/models */
 	struct bytes metrics; /**< Prometheus text */
 };
@@ -195,7 +195,7 @@
 	char *class_name;
 };
 
-/** All streams have ended and all is written: the process may exit. */
+/** All streams have ended and all data is written; exit the process. */
 struct effect_exit {
 	int64_t status;
 };
@@ -240,14 +240,14 @@
 /**
  * Append a line for the log.
  *
- * @param module What writes it, a short name.
- * @param format As of printf(), with `args`.
+ * @param module Short name of the module that logs the line.
+ * @param format printf() format of `args`.
  */
 void effects_add_log(struct effects *effects, enum log_level level,
 		     const char *module, const char *format, va_list args)
 	__attribute__((format(printf, 4, 0)));
 
-/** Take the first effect out, or NULL. */
+/** Remove and return the first effect, or NULL. */
 struct effect *effects_take(struct effects *effects);
 
 /** Free all effects. */
--- a/libfilberthall/core/event.h
+++ b/libfilberthall/core/event.h
@@ -9,7 +9,7 @@
 #include "core/field.h"
 
 /**
- * Everything that can happen to a daemon, as data. The edge threads build
+ * Events that a daemon processes. The edge threads build
  * events from what they read; the core thread hands each to the reducer with
  * the present time. An event owns its text and bytes.
  *
@@ -41,7 +41,7 @@
 		EVENT_KINDS
 };
 
-/** What a caller asks for. */
+/** Kind of a caller's request. */
 enum request_kind {
 	REQUEST_CHAT,	    /**< POST /v1/chat/completions */
 	REQUEST_COMPLETION, /**< POST /v1/completions */
@@ -58,11 +58,11 @@
  * thread.
  */
 struct event_request {
-	uint64_t id;	       /**< unique in this daemon's life */
+	uint64_t id;	       /**< unique within one run of the daemon */
 	int64_t kind;	       /**< enum request_kind */
 	char *trace;	       /**< traceparent of the edge's span */
 	char *key_hash;	       /**< keyed hash of the bearer key, hex */
-	char *class_name;      /**< asked for by header, or NULL */
+	char *class_name;      /**< from the request's header, or NULL */
 	char *model;	       /**< of a completion, or NULL */
 	char *adapter;	       /**< part of the model after ':', or NULL */
 	char *service;	       /**< NAME of /service/NAME, or NULL */
@@ -70,11 +70,11 @@
 	char *path;	       /**< path of a service call below NAME */
 	char *idempotency_key; /**< header, or NULL */
 	char *body_hash;       /**< hex */
-	uint64_t prefix_hash;  /**< of the prompt's first part; 0 unknown */
+	uint64_t prefix_hash;  /**< of the prompt's prefix; 0 if unknown */
 	int64_t prompt_tokens; /**< estimate from the body's length */
-	int64_t max_tokens;    /**< asked for, 0 if open */
-	int64_t deadline_ms;   /**< header, 0 for the class's own */
-	bool stream;	       /**< server-sent events wanted */
+	int64_t max_tokens;    /**< limit in the request, 0 if none */
+	int64_t deadline_ms;   /**< header; 0: the class's deadline */
+	bool stream;	       /**< answer as server-sent events */
 };
 
 /** The caller has disconnected. */
@@ -92,36 +92,36 @@
 struct event_attempt_tokens {
 	uint64_t id;
 	int64_t attempt;
-	int64_t tokens; /**< in all so far, of this attempt */
+	int64_t tokens; /**< total of this attempt so far */
 	bool first;
 };
 
-/** An attempt is over; nothing more of it will come. */
+/** An attempt has ended; no further events of it follow. */
 struct event_attempt_ended {
 	uint64_t id;
 	int64_t attempt;
-	int64_t code;	       /**< enum result; RESULT_OK if whole */
+	int64_t code;	       /**< enum result; RESULT_OK if complete */
 	int64_t http_status;   /**< of the backend server, 0 if none */
 	int64_t tokens;	       /**< delivered to the caller by this attempt */
-	int64_t prompt_tokens; /**< as the engine counted, 0 unknown */
+	int64_t prompt_tokens; /**< counted by the engine, 0 if unknown */
 	bool sent;	       /**< a byte may have left this VM */
-	bool cached;	       /**< the engine says its prefix cache helped */
+	bool cached;	       /**< the engine reported a prefix cache hit */
 	char *content_type;    /**< only if keep_answer was set */
 	struct bytes answer;   /**< only if keep_answer was set */
 };
 
-/** A backend server announced itself, reported load, or leaves. */
+/** A backend server registered, reported its load or is shutting down. */
 struct event_announce {
-	char *address;	  /**< IP:port, its name everywhere */
+	char *address;	  /**< IP:port; identifies the backend server */
 	char *boot_id;	  /**< new at each start of the server */
-	int64_t sequence; /**< grows within a boot id */
+	int64_t sequence; /**< increases within a boot id */
 	char *zone;	  /**< availability zone */
-	char *service;	  /**< plain service's NAME, or NULL for an engine */
+	char *service;	  /**< NAME of a service, or NULL for an engine */
 	char *model;
 	char *adapters; /**< comma separated, or NULL */
 	char *version;
 	char *role; /**< "serve", "prefill", "decode" */
-	bool cheap; /**< may be reclaimed */
+	bool cheap; /**< the platform may reclaim it */
 	bool leaving;
 	bool fences; /**< checks the fencing number of orders */
 	int64_t lease_ms;
@@ -136,7 +136,10 @@
 	int64_t age_ms;	     /**< age of the load figures when sent */
 };
 
-/** An engine holds, or no longer holds, a prompt prefix. A hint. */
+/**
+ * An engine has cached or evicted a prompt prefix. Only a hint: it may be
+ * outdated on arrival.
+ */
 struct event_cache {
 	char *address;
 	char *boot_id;
@@ -150,7 +153,7 @@
 	char *name;    /**< VM name */
 	char *zone;
 	char *address; /**< IP:port of its links, or NULL */
-	bool observer; /**< follows the group and never joins it */
+	bool observer; /**< receives updates and never becomes a member */
 };
 
 struct event_link_down {
@@ -165,7 +168,7 @@
 	LINK_SHARE = 4,	  /**< demand, capacity and limit shares, poison */
 	LINK_USAGE = 5,	  /**< usage counters */
 	LINK_FEED = 6,	  /**< between control VMs and entry VMs */
-	LINK_CHANNELS	  /**< one more than the last */
+	LINK_CHANNELS	  /**< last channel + 1 */
 };
 
 struct event_link_message {
@@ -174,7 +177,7 @@
 	struct bytes body;
 };
 
-/** All log writes up to `ticket` are on the disk. */
+/** All log writes up to `ticket` have been synced to disk. */
 struct event_disk_synced {
 	int64_t ticket;
 };
@@ -199,15 +202,15 @@
 	struct bytes body; /**< JSON answer */
 };
 
-/** Graceful shutdown was asked for. */
+/** A graceful shutdown was requested. */
 struct event_stop {
 	int64_t grace_ms;
 };
 
 struct event {
-	struct list node; /**< for whoever queues it */
+	struct list node; /**< link in the queue that holds the event */
 	enum event_kind kind;
-	int64_t at_us; /**< monotonic time at which the core took it */
+	int64_t at_us; /**< monotonic time at which the core processed it */
 	union {
 		struct event_tick tick;
 		struct event_request request;
@@ -228,7 +231,7 @@
 	} u;
 };
 
-/** A zeroed event of that kind. */
+/** Allocate a zeroed event of that kind. */
 struct event *event_new(enum event_kind kind);
 
 /** Free an event and what it owns; NULL is allowed. */
--- a/libfilberthall/core/field.h
+++ b/libfilberthall/core/field.h
@@ -4,8 +4,8 @@
 #include <stddef.h>
 
 /**
- * Describes the fields of an event or effect, so that one piece of code
- * records, replays, prints, copies and frees all of them.
+ * Describes the fields of an event or effect, so that generic code can write,
+ * read and free every kind.
  */
 enum field_type {
 	FIELD_BOOL,  /**< bool */
@@ -22,7 +22,7 @@
 	size_t offset;
 };
 
-/** Free what the fields of `record` own and zero them. */
+/** Free the memory owned by the fields of `record` and reset them. */
 void field_clear(const struct field *fields, size_t n, void *record);
 
 #endif
--- a/libfilberthall/core/gossip.c
+++ b/libfilberthall/core/gossip.c
@@ -27,15 +27,19 @@
 #define GOSSIP_TEXT_MAX 128
 
 /*
- * Load reports come about once a second and are old by then; half a second
- * more costs no attainment that policy-bench can show (report lag 0 to 2 s).
- * With many daemons the limit of 5 KB/s decides (docs/CAPACITY.md).
+ * Load reports arrive about once per second and describe the past. A further
+ * delay of half a second doesn't lower attainment measurably in policy-bench
+ * (report lag 0 to 2 s). On large sites the interval keeps the traffic below
+ * 5 KB/s (docs/CAPACITY.md).
  */
 #define GOSSIP_DIGEST_INTERVAL_US 500000
 #define GOSSIP_DIGEST_INTERVAL_LARGE_SITE_US 2000000
 #define GOSSIP_SMALL_SITE_MAX 32
 
-/* Unknown backend servers requested at once; the rest with the next digest. */
+/*
+ * Unknown backend servers requested per digest; the rest are requested after
+ * the next one.
+ */
 #define GOSSIP_REQUEST_MAX 256
 
 static void gossip_pack_announce(struct core *core,
@@ -62,9 +66,10 @@
 	if (outcome == ANNOUNCE_STALE)
 		return false;
 	/*
-	 * Looking at all queues again for each of a thousand load reports a
-	 * second would take a quarter of a core; new figures wait for the
-	 * next tick, a server that comes or leaves doesn't.
+	 * Rescanning all queues for each of a thousand load reports per second
+	 * would take a quarter of a CPU core. Load figures are therefore
+	 * processed at the next tick; a server that joins or leaves is
+	 * processed at once.
 	 */
 	if (outcome == ANNOUNCE_UPDATED) {
 		core->fleet_updated = true;
@@ -72,7 +77,7 @@
 	}
 	core_log(core, LOG_INFO, "fleet", "backend server %s %s",
 		 announce->address,
-		 outcome == ANNOUNCE_LEFT ? "leaves" : "joined");
+		 outcome == ANNOUNCE_LEFT ? "is shutting down" : "joined");
 	router_fleet_changed(core->router, core->now_us, core->effects);
 	return true;
 }
@@ -195,7 +200,7 @@
 	    digest_read(&core->fleet, data, len, core->now_us,
 			gossip_record_unknown, &unknown))
 		core_log(core, LOG_WARN, "fleet",
-			 "a digest of member %llx can't be read",
+			 "malformed digest from member %llx",
 			 (unsigned long long)peer);
 	gossip_request_unknown(core, peer, &unknown);
 	core->fleet_updated = true;
@@ -337,7 +342,7 @@
 	if (!unpack_array(&message, body->data, body->len) ||
 	    !unpack_int(&message, 0, &kind)) {
 		core_log(core, LOG_WARN, "fleet",
-			 "a message of member %llx can't be read",
+			 "malformed fleet message from member %llx",
 			 (unsigned long long)peer);
 		return;
 	}
@@ -377,7 +382,7 @@
 	struct core *core = data;
 
 	core_log(core, LOG_WARN, "fleet",
-		 "backend server %s is silent and taken for gone",
+		 "announcements of backend server %s have expired",
 		 backend->address);
 	router_backend_lost(core->router, backend->address, core->now_us,
 			    core->effects);
--- a/libfilberthall/core/metrics.c
+++ b/libfilberthall/core/metrics.c
@@ -12,7 +12,7 @@
  */
 #define METRICS_WORST_MIN_REQUESTS 20
 
-/* Upper bounds of the histogram of first tokens, in microseconds. */
+/* Bucket bounds of the time to first token, in microseconds. */
 static const int64_t metrics_bounds[METRICS_FIRST_TOKEN_BUCKETS] = {
 	10000,	25000,	 50000,	  100000,  200000,   350000,
 	560000, 1000000, 2000000, 5000000, 10000000, 30000000
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -236,8 +236,8 @@
 				"address: no such backend server");
 	} else if (undo && !autoscaler_cancel_stop(core, address)) {
 		operator_refuse(core, call, RESULT_CONFLICT,
-				"the stop was ordered already, or never asked "
-				"for");
+				"the stop was already ordered or never "
+				"requested");
 	} else {
 		if (!undo)
 			autoscaler_stop_backend(core, address);
@@ -284,8 +284,8 @@
 
 struct operator_command {
 	const char *name;
-	bool leader;	 /**< only the leader can answer it */
-	bool whole_site; /**< needs a key that reaches "site/" */
+	bool leader;	 /**< only the leader can run it */
+	bool whole_site; /**< needs a key whose subtree includes "site/" */
 	void (*run)(struct core *core, const struct operator_call *call);
 };
 
@@ -342,7 +342,7 @@
 		operator_refuse(core, call, RESULT_NO_ROUTE, "no such command");
 	else if (command->whole_site && key_reaches(call->key, "site/cluster"))
 		operator_refuse(core, call, RESULT_PATH_FORBIDDEN,
-				"this needs a key for the whole site");
+				"this command needs a key for the whole site");
 	else if (command->leader && !raft_is_leader(core->raft))
 		operator_forward_to_leader(core, call);
 	else
--- a/libfilberthall/core/pack.h
+++ b/libfilberthall/core/pack.h
@@ -7,11 +7,11 @@
 #include "base/bytes.h"
 
 /**
- * Small helpers around msgpack-c for the messages between daemons. Each is
- * an array whose first item is its kind.
+ * Helpers around msgpack-c for the messages between daemons. Each message is
+ * an array whose first item is the message's kind.
  */
 
-/** A packer that appends to `bytes`. */
+/** Initialise a packer that appends to `bytes`. */
 void pack_init(msgpack_packer *packer, struct bytes *bytes);
 
 void pack_text(msgpack_packer *packer, const char *text);
--- a/libfilberthall/core/peers.c
+++ b/libfilberthall/core/peers.c
@@ -1,6 +1,6 @@
 /*
- * Links to the other daemons: which to keep, which are up, and passing that on
- * to the modules.
+ * Opens and closes links to the other daemons and passes their state on to the
+ * modules.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,9 +9,9 @@
 #include "core/core_state.h"
 
 /*
- * Up to this many members every two keep a link. Beyond it heartbeats alone
- * would break the limit of 5 KB/s a daemon, and links go to voters and to
- * daemons of the same zone only (docs/CAPACITY.md).
+ * Up to this many members form a full mesh of links. In a larger mesh the
+ * heartbeats alone would exceed the limit of 5 KB/s per daemon, so daemons
+ * connect only to voters and within their zone (docs/CAPACITY.md).
  */
 #define PEERS_FULL_MESH_MAX 32
 
--- a/libfilberthall/core/pending_call.c
+++ b/libfilberthall/core/pending_call.c
@@ -57,8 +57,9 @@
 	size_t applied;
 
 	/*
-	 * The leader that the call was sent to died or was stopped: its answer
-	 * won't come, and the operator would wait a minute in vain.
+	 * The leader that the call was sent to has failed or stopped, so it
+	 * won't answer. Without this the operator would wait for the timeout
+	 * of a minute.
 	 */
 	if (waiting->ticket && raft_leader(core->raft) != waiting->leader) {
 		operator_answer(core, waiting->peer, waiting->id,
--- a/libfilberthall/core/prompt.c
+++ b/libfilberthall/core/prompt.c
@@ -8,7 +8,7 @@
 #include "base/cleanup.h"
 #include "base/map.h"
 
-/* English text is near four bytes a token; trued up by the engine's count. */
+/* Typical of English text; the estimate is corrected by the engine's count. */
 #define PROMPT_BYTES_PER_TOKEN 4
 
 static void json_cleanup(json_t **json)
--- a/libfilberthall/core/prompt.h
+++ b/libfilberthall/core/prompt.h
@@ -9,7 +9,7 @@
 #include "base/result.h"
 #include "core/event.h"
 
-/** Bytes of the prompt's start that make up its prefix. */
+/** Length of a prompt's prefix, in bytes. */
 #define PROMPT_PREFIX_BYTES 1024
 
 /** Fields of a completion's JSON body that routing needs. */
@@ -18,12 +18,12 @@
 	char *adapter; /**< after it, or NULL */
 	uint64_t prefix_hash;
 	int64_t prompt_tokens; /**< estimate: a quarter of the bytes */
-	int64_t max_tokens;    /**< 0 if open */
+	int64_t max_tokens;    /**< 0 if not limited */
 	bool stream;
 };
 
 /**
- * Read a body of OpenAI's published shape (chat: "messages"; completion:
+ * Parse a body of OpenAI's published API (chat: "messages"; completion:
  * "prompt").
  *
  * Returns RESULT_OK, or RESULT_BAD_REQUEST with a message to `handler` that
--- a/libfilberthall/core/propose.c
+++ b/libfilberthall/core/propose.c
@@ -74,8 +74,8 @@
 			continue;
 		}
 		/*
-		 * On the leader the entry is in its own log already, however
-		 * slow the disk.
+		 * The leader has already appended the entry to its own log,
+		 * even if the disk hasn't synced it yet.
 		 */
 		if (proposal->index && raft_is_leader(core->raft) &&
 		    proposal->term == raft_term(core->raft))
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -1,8 +1,8 @@
 /*
  * Callers' requests: authenticates and authorises the caller, opens a claim
  * for a call that may not be repeated, and submits the request to the router.
- * A disconnected VM doesn't learn of withdrawn keys, so it admits nothing once
- * its state is older than the staleness bound. A caller without an answer may
+ * A disconnected VM doesn't receive withdrawals of keys, so it refuses all
+ * requests once its state is older than the staleness bound. A caller without an answer may
  * send a non-repeatable call again through another VM. Its claim is therefore
  * committed to the log before anything is sent, and the second request finds
  * it.
@@ -363,10 +363,11 @@
 	if (!request || request->state != REQUEST_CLAIMING ||
 	    strcmp(request->claim_id, outcome->id)) {
 		/*
-		 * The request was given up as "not run" while its claim was
-		 * on the way. Without this the claim would stand as sent for
-		 * ever, and the caller's resend would wait for nobody. A
-		 * second copy of the same entry finds the request routed.
+		 * The request was answered "not run" before its claim was
+		 * committed. Unless the claim is released, it stays open and
+		 * a resend of the caller waits for an answer that never
+		 * comes. If the same entry is committed twice, the second one
+		 * finds the request already routed.
 		 */
 		if (!outcome->code && !request)
 			request_release_claim(core, outcome->id,
@@ -413,9 +414,9 @@
 }
 
 /*
- * A caller that leaves frees its place, but not if its call may not be
- * repeated and has begun: cutting it off would leave "unknown" where letting
- * it end leaves an answer that the caller's resend will find.
+ * Cancels the request of a caller that disconnected, unless the request is
+ * claimed and already routed: cancelling that one would make its outcome
+ * "unknown", while its completion stores an answer for the caller's resend.
  */
 void request_caller_left(struct core *core, uint64_t id)
 {
--- a/libfilberthall/core/rule.h
+++ b/libfilberthall/core/rule.h
@@ -26,12 +26,12 @@
 	int tier;
 	int64_t first_token_us; /**< target, 0 for none */
 	int64_t inter_token_us; /**< target of the mean, 0 for none */
-	int64_t pause_us;	/**< longest between pieces, 0 for any */
-	int64_t deadline_us;	/**< whole answer, from arrival */
-	double min_share;	/**< part of dispatches guaranteed, 0..0.5 */
-	int64_t queue_bound;	/**< requests waiting on one VM at most */
-	bool idempotent;	/**< may be retried and hedged */
-	bool reclaimable;	/**< may run on cheap backend servers */
+	int64_t pause_us;	/**< longest pause in a stream, 0: no limit */
+	int64_t deadline_us;	/**< of the complete answer, from arrival */
+	double min_share;    /**< guaranteed fraction of dispatches, 0..0.5 */
+	int64_t queue_bound; /**< requests waiting on one VM at most */
+	bool idempotent;     /**< may be retried and hedged */
+	bool reclaimable;    /**< may run on cheap backend servers */
 };
 
 /** team/TEAM/organisation/NAME; limits hold over all VMs, 0 is no limit. */
@@ -41,15 +41,15 @@
 	int64_t max_concurrent;
 	int64_t requests_per_min;
 	int64_t tokens_per_min;
-	double burst_s; /**< seconds' worth of the rates at once */
+	double burst_s; /**< burst size, in seconds of the rates */
 };
 
-/** How a service's call is told apart from a repeat of it. */
+/** How repeats of a service's call are detected. */
 enum idempotency {
 	IDEMPOTENCY_SAFE,     /**< may be repeated freely */
 	IDEMPOTENCY_REQUIRED, /**< Idempotency-Key must be given */
-	IDEMPOTENCY_BODY,     /**< organisation and body hash tell */
-	IDEMPOTENCY_NONE      /**< each arrival is its own, sent once */
+	IDEMPOTENCY_BODY,     /**< by organisation and body hash */
+	IDEMPOTENCY_NONE      /**< never; each arrival is sent once */
 };
 
 struct route_rule {
@@ -59,7 +59,7 @@
 	char class_name[RULE_NAME_SIZE]; /**< default class, may be empty */
 };
 
-/** team/TEAM/service/NAME; the first route that matches holds. */
+/** team/TEAM/service/NAME; the first matching route applies. */
 struct service_rule {
 	char name[RULE_NAME_SIZE];
 	char team[RULE_NAME_SIZE];
@@ -73,12 +73,13 @@
 	char hash[65]; /**< keyed hash of the secret, hex */
 	char organisation[RULE_NAME_SIZE];
 	char default_class[RULE_NAME_SIZE];
-	char subtree[RULE_PATH_SIZE]; /**< operators: what they may change */
-	bool caller;		      /**< may send requests */
-	bool operates;		      /**< may call operators' commands */
-	int n_classes;		      /**< 0: any class of the team */
-	int n_models;		      /**< 0: any model */
-	int n_services;		      /**< 0: any service */
+	char subtree
+		[RULE_PATH_SIZE]; /**< settings that an operator may change */
+	bool caller;		  /**< may send requests */
+	bool operates;		  /**< may call operators' commands */
+	int n_classes;		  /**< 0: any class of the team */
+	int n_models;		  /**< 0: any model */
+	int n_services;		  /**< 0: any service */
 	char classes[RULE_SCOPES][RULE_NAME_SIZE];
 	char models[RULE_SCOPES][RULE_NAME_SIZE];
 	char services[RULE_SCOPES][RULE_NAME_SIZE];
--- a/libfilberthall/core/script.h
+++ b/libfilberthall/core/script.h
@@ -10,14 +10,14 @@
 #include "core/event.h"
 
 /**
- * Events and effects as text, one JSON object a line: recordings of a
- * daemon, scripted tests and the output of replay share it.
+ * Reads events and writes events and effects as text, one JSON object per
+ * line. Recordings of a daemon, scripted tests and replay use this format.
  *
  *	{"at_us": 1000, "event": "caller-left", "id": "7"}
  *
- * Fields that hold nothing (0, false, no text) are left out. Byte fields are
- * text where they are valid UTF-8, else {"hex": "..."}; a byte field may be
- * given as any other JSON value, which then stands for its own text.
+ * Empty fields (0, false, NULL) are omitted. A byte field is written as a
+ * string if it is valid UTF-8, else as {"hex": "..."}. On reading, any other
+ * JSON value of a byte field is replaced by its serialised text.
  */
 
 /** Append an event's line, with its newline. */
@@ -30,7 +30,7 @@
  * Read one event line.
  *
  * Returns RESULT_OK and an event for event_free(), or
- * RESULT_MESSAGE_MALFORMED with a message that names the field.
+ * RESULT_MESSAGE_MALFORMED with an error message that names the field.
  */
 enum result script_read_event(struct event **event, const char *line,
 			      size_t len, const struct error_handler *handler);
--- a/libfilberthall/core/span.h
+++ b/libfilberthall/core/span.h
@@ -8,7 +8,7 @@
 #include "base/rng.h"
 #include "core/effect.h"
 
-/** A finished span, to be written. Text is borrowed. */
+/** A finished span to write. The strings aren't copied or freed. */
 struct span_info {
 	uint64_t id;	   /**< request */
 	const char *trace; /**< traceparent of the edge's span */
--- a/tests/core/site.h
+++ b/tests/core/site.h
@@ -25,7 +25,7 @@
 	struct core *core;
 	struct effects kept; /* for the edges, in order */
 	bool stopped;	     /* neither ticks nor receives */
-	bool hold_disk;	     /* syncs are not answered */
+	bool hold_disk;	     /* syncs aren't confirmed */
 	int64_t held_ticket;
 	int64_t clock_skew_us;
 };
@@ -38,7 +38,7 @@
 	bool linked[SITE_MAX][SITE_MAX];
 	uint64_t next_id;
 	const char *operator_hash; /* of the key that operators' calls use */
-	GHashTable *reported;	   /* window to its figures */
+	GHashTable *reported;	   /* figures by window */
 };
 
 /** Start `n` daemons in zones of their own; the first one founds the site. */
@@ -58,13 +58,13 @@
 void site_announce(struct site *site, int daemon, const char *address,
 		   const char *model, const char *service);
 
-/** A chat completion of the caller's key; returns its id. */
+/** Send a chat completion with the caller's key; returns its id. */
 uint64_t site_chat(struct site *site, int daemon, const char *class_name);
 
-/** A lodgement at the service "register"; returns its id. */
+/** Send a non-repeatable call to the service "register"; returns its id. */
 uint64_t site_lodge(struct site *site, int daemon, const char *repeat_key);
 
-/** An operator's call; runs until the answer is there, returns its code. */
+/** Send an operator's call, run until it is answered and return the code. */
 enum result site_admin(struct site *site, int daemon, const char *command,
 		       const char *args);
 
@@ -72,25 +72,25 @@
 struct effect *site_find(struct site *site, int daemon, enum effect_kind kind,
 			 uint64_t id);
 
-/** Run until it is there; fails the test after 20 s of the site's time. */
+/** Run until site_find() succeeds; fails the test after 20 s of site time. */
 struct effect *site_await(struct site *site, int daemon, enum effect_kind kind,
 			  uint64_t id);
 
-/** End an attempt as its edge would. */
+/** Send the event with which an edge thread ends an attempt. */
 void site_end_attempt(struct site *site, int daemon, uint64_t id,
 		      int64_t attempt, enum result code, const char *answer);
 
 /**
- * If the effect is a usage report, answer it as a platform would and drop it;
- * returns the output tokens that it bills, else 0. The same window again must
- * have the same figures, and bills nothing more.
+ * If the effect is a usage report, confirm it as a platform would, remove it
+ * and return the output tokens that it bills, else 0. A repeated report of a
+ * window must have the same figures and bills nothing.
  */
 int64_t site_take_report(struct site *site, int daemon, struct effect *effect);
 
-/** How many attempts of that request any daemon started. */
+/** Count the attempts of that request that all daemons started. */
 int site_count_attempts(struct site *site, uint64_t id);
 
-/** Number of the daemon that leads, or -1. */
+/** Number of the leader's daemon, or -1. */
 int site_leader(struct site *site);
 
 #endif
--- a/tests/core/t-site.c
+++ b/tests/core/t-site.c
@@ -173,7 +173,7 @@
 
 /*
  * A VM loses its links without notice, so it doesn't learn of withdrawn keys.
- * It must soon admit nothing and fail its health check.
+ * Within seconds it must refuse all requests and fail its health check.
  */
 static void a_vm_cut_off_admits_nothing(void)
 {
@@ -364,7 +364,7 @@
 
 /*
  * An operator of one team tries to change another team's classes, and the
- * site's members. Both must be refused, whoever holds the key.
+ * site's members. Both must be refused.
  */
 static void an_operator_stays_in_its_subtree(void)
 {
