--- a/libfilberthall/agree/claim.c
+++ b/libfilberthall/agree/claim.c
@@ -263,9 +263,9 @@
 	return RESULT_OK;
 }
 
-static enum result claims_move_on(struct claims *claims,
-				  struct claim_entry *entry,
-				  const struct claim_op *op, int64_t time_us)
+static enum result claims_transition(struct claims *claims,
+				     struct claim_entry *entry,
+				     const struct claim_op *op, int64_t time_us)
 {
 	enum claim_state state = entry->claim.state;
 
@@ -310,7 +310,7 @@
 	if (op->verb != CLAIM_VERB_DONE)
 		return claims_is_gone(claims, owner)
 			       ? RESULT_CONFLICT
-			       : claims_move_on(claims, entry, op, time_us);
+			       : claims_transition(claims, entry, op, time_us);
 	code = claims_finish(claims, entry, op, time_us);
 	claims_bound_answers(claims);
 	return code;
--- a/libfilberthall/agree/key.c
+++ b/libfilberthall/agree/key.c
@@ -248,7 +248,7 @@
 }
 
 /* All fields of a key, in the format of keys_grant(). */
-static json_t *key_full(const struct key *key)
+static json_t *key_to_json(const struct key *key)
 {
 	json_t *full = key_describe(key);
 
@@ -274,7 +274,7 @@
 	if (json_object_get(args, "hash"))
 		return error_report(handler, RESULT_BAD_REQUEST,
 				    "key: hash can't be changed");
-	full = key_full(&entry->key);
+	full = key_to_json(&entry->key);
 	json_object_update(full, (json_t *)args);
 	keys_remove(keys, entry);
 	keys_add(keys, full, index);
@@ -293,7 +293,7 @@
 }
 
 /* Whether a list permits a name; an empty list permits all. */
-static bool key_lists(const char **list, const char *name)
+static bool key_list_permits(const char **list, const char *name)
 {
 	if (!*list)
 		return true;
@@ -316,12 +316,12 @@
 	if (class_name) {
 		rule = rules_class(settings, class_name);
 		if (!rule || strcmp(rule->team, organisation->team) != 0 ||
-		    !key_lists(key->classes, class_name))
+		    !key_list_permits(key->classes, class_name))
 			return RESULT_CLASS_FORBIDDEN;
 	}
-	if (model && !key_lists(key->models, model))
+	if (model && !key_list_permits(key->models, model))
 		return RESULT_MODEL_FORBIDDEN;
-	if (service && !key_lists(key->services, service))
+	if (service && !key_list_permits(key->services, service))
 		return RESULT_SERVICE_FORBIDDEN;
 	return RESULT_OK;
 }
@@ -393,7 +393,7 @@
 		json_array_append_new(saved,
 				      json_pack("[I o]",
 						(json_int_t)entry->key.version,
-						key_full(&entry->key)));
+						key_to_json(&entry->key)));
 	return saved;
 }
 
--- a/libfilberthall/agree/raft.c
+++ b/libfilberthall/agree/raft.c
@@ -209,7 +209,7 @@
 	if (quorum_us < raft->elected_us)
 		quorum_us = raft->elected_us;
 	if (now_us - quorum_us >= raft->options.election_us) {
-		raft_say(effects, LOG_WARN, "no quorum: stepping down");
+		raft_emit_log(effects, LOG_WARN, "no quorum: stepping down");
 		raft_become_follower(raft, raft->term, 0, now_us, effects);
 		return;
 	}
@@ -318,8 +318,8 @@
 	if (!peer)
 		return;
 	if (!raft_message_decode(&message, data, len)) {
-		raft_say(effects, LOG_WARN, "malformed message from %llu",
-			 (unsigned long long)peer_id);
+		raft_emit_log(effects, LOG_WARN, "malformed message from %llu",
+			      (unsigned long long)peer_id);
 		return;
 	}
 	raft_detect_pause(raft, now_us);
@@ -345,7 +345,7 @@
 	peer->replicating =
 		peer->downstream ||
 		(raft->role == RAFT_LEADER && raft_leader_replicates_to(peer));
-	raft_feed(raft, peer, true, now_us, effects);
+	raft_replicate_to(raft, peer, true, now_us, effects);
 	raft_finish(raft, now_us, effects);
 }
 
--- a/libfilberthall/agree/raft_disk.c
+++ b/libfilberthall/agree/raft_disk.c
@@ -47,7 +47,7 @@
  * Entries from `from` on are replaced. Pending syncs cover the old entries, so
  * they must not make the new ones count as durable.
  */
-void raft_unsync(struct raft *raft, int64_t from)
+void raft_mark_unsynced(struct raft *raft, int64_t from)
 {
 	struct raft_pending_sync *ticket;
 
@@ -63,7 +63,7 @@
 {
 	struct effect *effect;
 
-	raft_unsync(raft, from);
+	raft_mark_unsynced(raft, from);
 	raft->dirty = true;
 	if (!raft_writes(raft))
 		return;
@@ -125,8 +125,8 @@
 	list_append(&raft->deferred, &waiting->node);
 }
 
-static void raft_release_waiting(struct raft *raft, int64_t ticket,
-				 struct effects *effects)
+static void raft_send_deferred(struct raft *raft, int64_t ticket,
+			       struct effects *effects)
 {
 	struct raft_deferred_message *waiting;
 	struct raft_deferred_message *next;
@@ -140,7 +140,7 @@
 	}
 }
 
-static void raft_drop_waiting(struct raft *raft)
+static void raft_drop_deferred(struct raft *raft)
 {
 	struct raft_deferred_message *waiting;
 	struct raft_deferred_message *next;
@@ -156,8 +156,8 @@
  * All writes up to `ticket` are durable: send the deferred messages and count
  * the votes and entries.
  */
-static void raft_settle(struct raft *raft, int64_t ticket, int64_t now_us,
-			struct effects *effects)
+static void raft_sync_done(struct raft *raft, int64_t ticket, int64_t now_us,
+			   struct effects *effects)
 {
 	struct raft_pending_sync *done;
 	struct raft_pending_sync *next;
@@ -172,7 +172,7 @@
 		list_remove(&done->node);
 		free(done);
 	}
-	raft_release_waiting(raft, ticket, effects);
+	raft_send_deferred(raft, ticket, effects);
 	if (raft->role == RAFT_CANDIDATE)
 		raft_count_votes(raft, now_us, effects);
 	if (raft->role == RAFT_LEADER)
@@ -205,10 +205,10 @@
 		 * without a disk nothing has to be synced; this frees `ticket`
 		 */
 		if (!raft->options.self.disk)
-			raft_settle(raft, number, now_us, effects);
+			raft_sync_done(raft, number, now_us, effects);
 		switch (raft->options.mutant) {
 		case RAFT_MUTANT_VOTE_BEFORE_SYNC:
-			raft_release_waiting(raft, number, effects);
+			raft_send_deferred(raft, number, effects);
 			break;
 		case RAFT_MUTANT_ACK_BEFORE_SYNC:
 			if (raft->role == RAFT_LEADER)
@@ -233,7 +233,7 @@
 {
 	if (raft->disk_failed)
 		return;
-	raft_settle(raft, ticket, now_us, effects);
+	raft_sync_done(raft, ticket, now_us, effects);
 	raft_finish(raft, now_us, effects);
 }
 
@@ -243,17 +243,17 @@
 	if (raft->disk_failed)
 		return;
 	raft->disk_failed = true;
-	raft_drop_waiting(raft);
-	raft_say(effects, LOG_ERROR,
-		 "%s: this VM no longer votes or acknowledges entries",
-		 result_text(code));
+	raft_drop_deferred(raft);
+	raft_emit_log(effects, LOG_ERROR,
+		      "%s: this VM no longer votes or acknowledges entries",
+		      result_text(code));
 	if (raft->role != RAFT_FOLLOWER)
 		raft_become_follower(raft, raft->term, 0, now_us, effects);
 	raft->dirty = false;
 }
 
-void raft_say(struct effects *effects, enum log_level level, const char *format,
-	      ...)
+void raft_emit_log(struct effects *effects, enum log_level level,
+		   const char *format, ...)
 {
 	va_list args;
 
--- a/libfilberthall/agree/raft_election.c
+++ b/libfilberthall/agree/raft_election.c
@@ -75,8 +75,8 @@
 		peer->replicating = peer->downstream;
 	raft_reset_election(raft, now_us);
 	if (was_leader)
-		raft_say(effects, LOG_WARN, "no longer leader in term %lld",
-			 (long long)term);
+		raft_emit_log(effects, LOG_WARN,
+			      "no longer leader in term %lld", (long long)term);
 }
 
 /**
@@ -206,8 +206,8 @@
 		peer->replicating =
 			peer->downstream || raft_leader_replicates_to(peer);
 	}
-	raft_say(effects, LOG_INFO, "leader in term %lld",
-		 (long long)raft->term);
+	raft_emit_log(effects, LOG_INFO, "leader in term %lld",
+		      (long long)raft->term);
 	raft->first_own_index =
 		raft_append_own(raft, RAFT_ENTRY_EMPTY, NULL, 0, effects)
 			->index;
--- a/libfilberthall/agree/raft_internal.h
+++ b/libfilberthall/agree/raft_internal.h
@@ -245,7 +245,7 @@
 void raft_write_hard_state(struct raft *raft, struct effects *effects);
 void raft_write_append(struct raft *raft, const struct raft_entry *entry,
 		       struct effects *effects);
-void raft_unsync(struct raft *raft, int64_t from);
+void raft_mark_unsynced(struct raft *raft, int64_t from);
 void raft_write_truncate(struct raft *raft, int64_t from,
 			 struct effects *effects);
 void raft_write_snapshot(struct raft *raft, struct effects *effects);
@@ -255,8 +255,9 @@
 			  const struct raft_message *message,
 			  struct effects *effects);
 void raft_finish(struct raft *raft, int64_t now_us, struct effects *effects);
-void raft_say(struct effects *effects, enum log_level level, const char *format,
-	      ...) __attribute__((format(printf, 3, 4)));
+void raft_emit_log(struct effects *effects, enum log_level level,
+		   const char *format, ...)
+	__attribute__((format(printf, 3, 4)));
 
 /* raft_election.c */
 bool raft_can_vote(const struct raft *raft);
@@ -289,8 +290,8 @@
 struct raft_entry *raft_append_own(struct raft *raft, enum raft_entry_kind kind,
 				   const char *data, size_t len,
 				   struct effects *effects);
-void raft_feed(struct raft *raft, struct raft_peer *peer, bool heartbeat,
-	       int64_t now_us, struct effects *effects);
+void raft_replicate_to(struct raft *raft, struct raft_peer *peer,
+		       bool heartbeat, int64_t now_us, struct effects *effects);
 /** Record which message a reply answers. */
 void raft_record_answer(struct raft_peer *peer,
 			const struct raft_message *message, int64_t now_us);
--- a/libfilberthall/agree/raft_learner.c
+++ b/libfilberthall/agree/raft_learner.c
@@ -263,7 +263,7 @@
 	peer->next = (message->index < raft->commit ? message->index
 						    : raft->commit) +
 		     1;
-	raft_feed(raft, peer, true, now_us, effects);
+	raft_replicate_to(raft, peer, true, now_us, effects);
 }
 
 /** A member without any entries uses the membership in the refusal. */
--- a/libfilberthall/agree/raft_member.c
+++ b/libfilberthall/agree/raft_member.c
@@ -151,8 +151,8 @@
 
 	if (!members_decode(&members, entry->body.data + 1,
 			    entry->body.len - 1)) {
-		raft_say(effects, LOG_ERROR,
-			 "malformed membership entry ignored");
+		raft_emit_log(effects, LOG_ERROR,
+			      "malformed membership entry ignored");
 		return;
 	}
 	members_clear(&raft->members);
@@ -214,13 +214,13 @@
 	struct members members = members_copy(&raft->members);
 
 	members_change(&members, change);
-	raft_say(effects, LOG_INFO, "membership: %s %s (%llu): %s",
-		 change->kind == MEMBER_PUT	  ? "put"
-		 : change->kind == MEMBER_PROMOTE ? "promote"
-		 : change->kind == MEMBER_DEMOTE  ? "demote"
-						  : "remove",
-		 change->member.vm, (unsigned long long)change->member.id,
-		 change->reason ? change->reason : "operator's request");
+	raft_emit_log(effects, LOG_INFO, "membership: %s %s (%llu): %s",
+		      change->kind == MEMBER_PUT       ? "put"
+		      : change->kind == MEMBER_PROMOTE ? "promote"
+		      : change->kind == MEMBER_DEMOTE  ? "demote"
+						       : "remove",
+		      change->member.vm, (unsigned long long)change->member.id,
+		      change->reason ? change->reason : "operator's request");
 	raft_append_members(raft, &members, now_us, effects);
 	members_clear(&members);
 }
@@ -286,8 +286,8 @@
 }
 
 /** Add all VMs that have asked to join by one entry. */
-static void raft_admit(struct raft *raft, int64_t now_us,
-		       struct effects *effects)
+static void raft_append_joining(struct raft *raft, int64_t now_us,
+				struct effects *effects)
 {
 	struct members members = members_copy(&raft->members);
 	size_t i;
@@ -314,7 +314,7 @@
 	if (!raft_may_change(raft))
 		return;
 	if (raft->joining.count) {
-		raft_admit(raft, now_us, effects);
+		raft_append_joining(raft, now_us, effects);
 		return;
 	}
 	/* no repair while the quorum itself is uncertain */
@@ -325,7 +325,7 @@
 	raft_repair(raft, now_us, effects);
 }
 
-static void raft_note_joining(struct raft *raft, const struct member *member)
+static void raft_queue_join(struct raft *raft, const struct member *member)
 {
 	const struct member *known = members_find(&raft->members, member->id);
 	struct member_change put = { .kind = MEMBER_PUT, .member = *member };
@@ -356,7 +356,7 @@
 	if (raft->role == RAFT_LEADER) {
 		if (members_decode(&asked, message->data, message->len) &&
 		    asked.count == 1)
-			raft_note_joining(raft, &asked.items[0]);
+			raft_queue_join(raft, &asked.items[0]);
 		members_clear(&asked);
 		return;
 	}
@@ -369,8 +369,8 @@
 /**
  * Number of voters other than `id` that answered within an election timeout.
  */
-static int raft_living_voters(const struct raft *raft, uint64_t id,
-			      int64_t now_us)
+static int raft_live_voters(const struct raft *raft, uint64_t id,
+			    int64_t now_us)
 {
 	int living = id != raft->options.self.id && raft_is_voter(raft);
 	const struct raft_peer *peer;
@@ -387,10 +387,11 @@
  * just have died unnoticed, so the rest must tolerate one loss more than is
  * known; otherwise the change itself could stop the group for good.
  */
-static bool raft_can_spare(const struct raft *raft, uint64_t id, int64_t now_us)
+static bool raft_can_remove_voter(const struct raft *raft, uint64_t id,
+				  int64_t now_us)
 {
 	int left = raft->voters - 1;
-	int living = raft_living_voters(raft, id, now_us);
+	int living = raft_live_voters(raft, id, now_us);
 
 	if (left <= 1)
 		return left == 1 && living == 1;
@@ -409,7 +410,7 @@
 	if (!member->disk || !health.caught_up ||
 	    now_us - peer->last_answered_us >= raft->options.election_us)
 		return RESULT_NOT_CAUGHT_UP;
-	return raft_living_voters(raft, 0, now_us) + 1 >= members_quorum(voters)
+	return raft_live_voters(raft, 0, now_us) + 1 >= members_quorum(voters)
 		       ? RESULT_OK
 		       : RESULT_NO_QUORUM;
 }
@@ -428,7 +429,7 @@
 	if (change->kind == MEMBER_PROMOTE)
 		return raft_check_promotion(raft, member, now_us);
 	if (member->role == MEMBER_VOTER &&
-	    !raft_can_spare(raft, member->id, now_us))
+	    !raft_can_remove_voter(raft, member->id, now_us))
 		return RESULT_NO_QUORUM;
 	return RESULT_OK;
 }
--- a/libfilberthall/agree/raft_replicate.c
+++ b/libfilberthall/agree/raft_replicate.c
@@ -110,8 +110,8 @@
  * Send the entries that a peer lacks, or an empty append if there are none and
  * a heartbeat is due.
  */
-void raft_feed(struct raft *raft, struct raft_peer *peer, bool heartbeat,
-	       int64_t now_us, struct effects *effects)
+void raft_replicate_to(struct raft *raft, struct raft_peer *peer,
+		       bool heartbeat, int64_t now_us, struct effects *effects)
 {
 	if (!peer->up || !peer->replicating)
 		return;
@@ -146,7 +146,7 @@
 		if (peer->is_voter || peer->probing ||
 		    now_us - peer->sent_us >=
 			    raft->options.learner_heartbeat_us)
-			raft_feed(raft, peer, idle, now_us, effects);
+			raft_replicate_to(raft, peer, idle, now_us, effects);
 	}
 }
 
@@ -199,7 +199,7 @@
 			continue;
 		raft_check_progress(peer);
 		if (now_us - peer->sent_us >= interval_us)
-			raft_feed(raft, peer, true, now_us, effects);
+			raft_replicate_to(raft, peer, true, now_us, effects);
 	}
 }
 
@@ -332,5 +332,5 @@
 	}
 	if (peer->is_voter || message->flags & RAFT_REJECTED ||
 	    raft_may_send_entries(raft, peer))
-		raft_feed(raft, peer, false, now_us, effects);
+		raft_replicate_to(raft, peer, false, now_us, effects);
 }
--- a/libfilberthall/agree/raft_snapshot.c
+++ b/libfilberthall/agree/raft_snapshot.c
@@ -171,7 +171,7 @@
 	peer->next = message->index + 1;
 	peer->snapshot_index = 0;
 	peer->n_inflight = 0;
-	raft_feed(raft, peer, true, now_us, effects);
+	raft_replicate_to(raft, peer, true, now_us, effects);
 }
 
 static void raft_install(struct raft *raft, struct effects *effects)
@@ -181,7 +181,7 @@
 	size_t len;
 
 	if (!raft_snapshot_split(&raft->chunk, &members, &state, &len)) {
-		raft_say(effects, LOG_ERROR, "malformed snapshot ignored");
+		raft_emit_log(effects, LOG_ERROR, "malformed snapshot ignored");
 		return;
 	}
 	members_clear(&members);
@@ -198,7 +198,7 @@
 		 * shorter log. None of them counts as durable before the
 		 * snapshot is.
 		 */
-		raft_unsync(raft, raft->commit + 1);
+		raft_mark_unsynced(raft, raft->commit + 1);
 		raft_write_truncate(raft, raft->snapshot_index + 1, effects);
 		raft_log_reset(&raft->log, raft->snapshot_index,
 			       raft->snapshot_term);
@@ -211,9 +211,9 @@
 }
 
 /** Store a chunk if it continues the snapshot being received. */
-static void raft_take_chunk(struct raft *raft,
-			    const struct raft_message *message,
-			    struct effects *effects)
+static void raft_store_chunk(struct raft *raft,
+			     const struct raft_message *message,
+			     struct effects *effects)
 {
 	if (message->offset == 0 && (raft->chunk_index != message->index ||
 				     raft->chunk_term != message->log_term)) {
@@ -238,9 +238,9 @@
  * Record contact with the sender of a chunk, as raft_on_append() does; false if
  * the chunk must be ignored.
  */
-static bool raft_hear_chunk(struct raft *raft, struct raft_peer *peer,
-			    const struct raft_message *message, int64_t now_us,
-			    struct effects *effects)
+static bool raft_accept_chunk_sender(struct raft *raft, struct raft_peer *peer,
+				     const struct raft_message *message,
+				     int64_t now_us, struct effects *effects)
 {
 	if (message->flags & RAFT_RELAYED) {
 		if (!raft_accepts_relayed(raft, peer))
@@ -273,10 +273,10 @@
 		.sent_us = now_us,
 	};
 
-	if (!raft_hear_chunk(raft, peer, message, now_us, effects))
+	if (!raft_accept_chunk_sender(raft, peer, message, now_us, effects))
 		return;
 	if (message->index > raft->commit)
-		raft_take_chunk(raft, message, effects);
+		raft_store_chunk(raft, message, effects);
 	reply.offset = message->index <= raft->commit
 			       ? message->total
 			       : (int64_t)raft->chunk.len;
--- a/libfilberthall/agree/repair.c
+++ b/libfilberthall/agree/repair.c
@@ -23,8 +23,8 @@
 	return NULL;
 }
 
-static bool repair_silent(const struct repair_view *view, uint64_t id,
-			  int64_t for_us)
+static bool repair_is_unreachable(const struct repair_view *view, uint64_t id,
+				  int64_t for_us)
 {
 	const struct member_health *health = repair_health(view, id);
 
@@ -53,8 +53,8 @@
 
 		if (other->id != member->id &&
 		    repair_same_place(other, member) &&
-		    !repair_silent(view, other->id,
-				   view->policy->voter_timeout_us))
+		    !repair_is_unreachable(view, other->id,
+					   view->policy->voter_timeout_us))
 			return true;
 	}
 	return false;
@@ -70,7 +70,7 @@
 		return true;
 	if (repair_superseded(view, member))
 		patience_us /= 4;
-	return repair_silent(view, member->id, patience_us);
+	return repair_is_unreachable(view, member->id, patience_us);
 }
 
 static int repair_living_voters(const struct repair_view *view)
@@ -176,12 +176,13 @@
 	const struct member_health *health = repair_health(view, member->id);
 
 	return health && health->disk_failed &&
-	       !repair_silent(view, member->id, view->policy->voter_timeout_us);
+	       !repair_is_unreachable(view, member->id,
+				      view->policy->voter_timeout_us);
 }
 
 /** How certain it is that a dead voter won't come back, from 0 to 2. */
-static int repair_finality(const struct repair_view *view,
-			   const struct member *dead)
+static int repair_loss_certainty(const struct repair_view *view,
+				 const struct member *dead)
 {
 	if (repair_may_recover(view, dead))
 		return 0;
@@ -202,8 +203,8 @@
 
 		if (member->role != MEMBER_VOTER || !repair_dead(view, member))
 			continue;
-		if (!found || repair_finality(view, member) >
-				      repair_finality(view, found))
+		if (!found || repair_loss_certainty(view, member) >
+				      repair_loss_certainty(view, found))
 			found = member;
 	}
 	return found;
@@ -231,8 +232,8 @@
 }
 
 /** The voter, other than this member, whose zone has the most live voters. */
-static const struct member *repair_crowded(const struct repair_view *view,
-					   int *zone_voters)
+static const struct member *
+repair_crowded_zone_voter(const struct repair_view *view, int *zone_voters)
 {
 	const struct member *found = NULL;
 	size_t i;
@@ -329,7 +330,7 @@
 	int candidates;
 	const struct member *candidate = repair_candidate(view, &candidates);
 	int crowd;
-	const struct member *crowded = repair_crowded(view, &crowd);
+	const struct member *crowded = repair_crowded_zone_voter(view, &crowd);
 
 	if (repair_dead_voter(view))
 		return none;
@@ -355,7 +356,7 @@
 		if (repair_superseded(view, member))
 			patience_us = view->policy->voter_timeout_us / 4;
 		if (member->role == MEMBER_LEARNER &&
-		    repair_silent(view, member->id, patience_us))
+		    repair_is_unreachable(view, member->id, patience_us))
 			return repair_step(MEMBER_REMOVE, member,
 					   "unreachable learner");
 	}
--- a/libfilberthall/agree/schema.c
+++ b/libfilberthall/agree/schema.c
@@ -195,7 +195,7 @@
 }
 
 /* Format a value for a message, truncated to `size`. */
-static void schema_show(const json_t *value, char *text, size_t size)
+static void schema_format_value(const json_t *value, char *text, size_t size)
 {
 	size_t len;
 
@@ -282,7 +282,7 @@
 			       ? schema_check_list(path, name, field, value,
 						   fault)
 			       : RESULT_OK;
-	schema_show(value, shown, sizeof(shown));
+	schema_format_value(value, shown, sizeof(shown));
 	snprintf(fault->reason, sizeof(fault->reason), "is %s", shown);
 	schema_allowed(field, fault->allowed, sizeof(fault->allowed));
 	return schema_set_fault(fault, RESULT_SETTING_VALUE, path, name);
@@ -344,8 +344,8 @@
  * Whether each path component that matches '*' is a valid name; if not, `name`
  * gets the invalid one.
  */
-static bool schema_names_hold(const char *pattern, const char *path,
-			      char name[RULE_NAME_SIZE])
+static bool schema_names_are_valid(const char *pattern, const char *path,
+				   char name[RULE_NAME_SIZE])
 {
 	while (*pattern) {
 		size_t len = strcspn(path, "/");
@@ -371,7 +371,7 @@
 	memset(fault, 0, sizeof(*fault));
 	if (!row || path[len])
 		return schema_unknown_path(path, fault);
-	if (!schema_names_hold(row->pattern, path, name)) {
+	if (!schema_names_are_valid(row->pattern, path, name)) {
 		snprintf(fault->reason, sizeof(fault->reason),
 			 "\"%s\" is no name", name);
 		snprintf(fault->allowed, sizeof(fault->allowed), "%s",
--- a/tests/agree/sim_fault.c
+++ b/tests/agree/sim_fault.c
@@ -90,16 +90,16 @@
  * trusts its lease. Nothing is proposed meanwhile, so that the isolated voter's
  * log is up to date.
  */
-static void sim_lose_sight(struct sim *sim)
+static void sim_isolate_voter(struct sim *sim)
 {
 	int leader = sim_leader(sim);
 
-	sim->blind = (int)rng_below(&sim->rng, SIM_LEARNER);
-	if (leader < 0 || leader == sim->blind)
+	sim->isolated_voter = (int)rng_below(&sim->rng, SIM_LEARNER);
+	if (leader < 0 || leader == sim->isolated_voter)
 		return;
 	sim->quiet_until_us = sim->now_us + 4000000;
-	sim_wake(sim, leader, SIM_BLIND, 300000);
-	sim_wake(sim, leader, SIM_STRIKE,
+	sim_wake(sim, leader, SIM_ISOLATE_VOTER, 300000);
+	sim_wake(sim, leader, SIM_ISOLATE_LEADER,
 		 1200000 + (int64_t)rng_below(&sim->rng, 1300000));
 }
 
@@ -124,13 +124,13 @@
 		sim_start(sim, leader);
 		return;
 	}
-	if (phase == SIM_BLIND) {
-		sim->cut[leader][sim->blind] = true;
-		sim->cut[sim->blind][leader] = true;
+	if (phase == SIM_ISOLATE_VOTER) {
+		sim->cut[leader][sim->isolated_voter] = true;
+		sim->cut[sim->isolated_voter][leader] = true;
 		return;
 	}
 	if (rng_below(&sim->rng, 2))
-		sim_cut_and_restart_others(sim, leader, sim->blind);
+		sim_cut_and_restart_others(sim, leader, sim->isolated_voter);
 	else
 		sim_cut_off(sim, leader, true, true);
 }
@@ -275,7 +275,7 @@
 		sim_mend(sim);
 		sim->quiet_until_us = sim->now_us + 3000000;
 	} else {
-		sim_lose_sight(sim);
+		sim_isolate_voter(sim);
 	}
 	sim->mended = !sim->mended;
 	return true;
@@ -329,7 +329,7 @@
 		break;
 	case 13:
 	case 14:
-		sim_lose_sight(sim);
+		sim_isolate_voter(sim);
 		break;
 	default:
 		sim_mend(sim);
--- a/tests/agree/sim_internal.h
+++ b/tests/agree/sim_internal.h
@@ -10,7 +10,7 @@
 #define SIM_TERMS 4096
 #define SIM_DRIFT_PPM 100000
 
-enum sim_phase { SIM_BLIND = 1, SIM_STRIKE, SIM_KILL };
+enum sim_phase { SIM_ISOLATE_VOTER = 1, SIM_ISOLATE_LEADER, SIM_KILL };
 
 enum sim_event_kind { SIM_TICK, SIM_MESSAGE, SIM_SYNCED, SIM_WAKE };
 
@@ -59,7 +59,7 @@
 	struct sim_node nodes[SIM_NODES];
 	bool cut[SIM_NODES][SIM_NODES]; /* [from][to] */
 	bool calm;
-	int blind; /* voter without a link to the leader */
+	int isolated_voter; /* voter without a link to the leader */
 	bool ambush;
 	bool mended;
 	int kills; /*
