--- a/libfilberthall/agree/apply.c
+++ b/libfilberthall/agree/apply.c
@@ -143,7 +143,7 @@
 	return true;
 }
 
-static void apply_claim_lost(void *data, const char *id)
+static void apply_record_lost_claim(void *data, const char *id)
 {
 	apply_result_add_change(data, CHANGE_CLAIM, id, 0, true);
 }
@@ -186,7 +186,7 @@
 	result->code = RESULT_OK;
 	if (before.incarnation-- > 1)
 		claims_owner_gone(agreed->claims, &before, agreed->time_us,
-				  apply_claim_lost, result);
+				  apply_record_lost_claim, result);
 	result->claims = xcalloc(json_array_size(entry->body) + 1,
 				 sizeof(*result->claims));
 	json_array_foreach(entry->body, i, item) {
@@ -209,7 +209,7 @@
 	owner.member = (uint64_t)member;
 	owner.incarnation = (uint64_t)incarnation;
 	claims_owner_gone(agreed->claims, &owner, agreed->time_us,
-			  apply_claim_lost, result);
+			  apply_record_lost_claim, result);
 }
 
 static void apply_window(struct agreed *agreed, const struct entry *entry,
@@ -309,7 +309,7 @@
  * limited step per entry: a VM whose clock jumps ahead can't make every claim
  * look a day old, which would let requests run a second time.
  */
-static void apply_move_time(struct agreed *agreed, int64_t time_us)
+static void apply_advance_time(struct agreed *agreed, int64_t time_us)
 {
 	if (agreed->time_us && time_us > agreed->time_us + CLAIM_TIME_STEP_US)
 		time_us = agreed->time_us + CLAIM_TIME_STEP_US;
@@ -329,7 +329,7 @@
 	for (i = 0; i < sizeof(apply_kinds) / sizeof(apply_kinds[0]); i++) {
 		if (strcmp(apply_kinds[i].kind, entry->kind) != 0)
 			continue;
-		apply_move_time(agreed, entry->head.time_us);
+		apply_advance_time(agreed, entry->head.time_us);
 		claims_expire(agreed->claims, agreed->time_us);
 		resends_expire(agreed->resends, agreed->time_us);
 		apply_kinds[i].apply(agreed, entry, result);
--- a/libfilberthall/agree/apply_admin.c
+++ b/libfilberthall/agree/apply_admin.c
@@ -46,7 +46,7 @@
 }
 
 /* Record a changed path for the reducer. */
-static void command_note_path(struct command *command, const char *path)
+static void command_record_path(struct command *command, const char *path)
 {
 	static const enum change_kind kinds[RULE_KINDS] = {
 		[RULE_CLASS] = CHANGE_CLASS,
@@ -76,13 +76,13 @@
 	}
 }
 
-static void command_note_paths(struct command *command)
+static void command_record_paths(struct command *command)
 {
 	const json_t *path;
 	size_t i;
 
 	json_array_foreach(json_object_get(command->answer, "paths"), i, path)
-		command_note_path(command, json_string_value(path));
+		command_record_path(command, json_string_value(path));
 	agreed_set_limits(command->agreed);
 }
 
@@ -101,7 +101,7 @@
 	code = settings_change_values(command->agreed->settings, values,
 				      versions, &command->author,
 				      command->answer, &command->handler);
-	command_note_paths(command);
+	command_record_paths(command);
 	return code;
 }
 
@@ -190,7 +190,7 @@
 		return code;
 	code = settings_revert(settings, version, &command->author,
 			       command->answer, &command->handler);
-	command_note_paths(command);
+	command_record_paths(command);
 	return code;
 }
 
@@ -392,7 +392,7 @@
  * first result, whatever has changed since. Returns whether the command was
  * handled here: a resend, or a reused change id.
  */
-static bool command_is_resend(struct command *command, const char *name)
+static bool command_answer_resend(struct command *command, const char *name)
 {
 	const struct settings_author *author = &command->author;
 	const json_t *kept;
@@ -423,7 +423,7 @@
  * Strings that aren't valid UTF-8 would make it impossible to show the values
  * in JSON answers; no legitimate command needs them.
  */
-static bool command_is_text(const json_t *body)
+static bool command_is_valid_utf8(const json_t *body)
 {
 	cleanup(free_ptr) char *text = json_dumps(body, JSON_COMPACT);
 
@@ -439,7 +439,8 @@
 	command_begin(&command, agreed, entry, result);
 	if (json_unpack(entry->body, "{ss so}", "command", &name, "args",
 			&command.args) < 0 ||
-	    !json_is_object(command.args) || !command_is_text(entry->body)) {
+	    !json_is_object(command.args) ||
+	    !command_is_valid_utf8(entry->body)) {
 		command_finish(&command, RESULT_MESSAGE_MALFORMED);
 		return;
 	}
@@ -450,7 +451,7 @@
 		command_finish(&command, RESULT_KEY_UNKNOWN);
 		return;
 	}
-	if (command_is_resend(&command, name))
+	if (command_answer_resend(&command, name))
 		return;
 	command_finish(&command, command_run(&command, name));
 	if (entry->head.change_id)
@@ -469,7 +470,7 @@
 
 	if (keys_count(agreed->keys) || settings_count(agreed->settings))
 		return RESULT_CONFLICT;
-	if (!json_is_object(values) || !command_is_text(body))
+	if (!json_is_object(values) || !command_is_valid_utf8(body))
 		return RESULT_MESSAGE_MALFORMED;
 	key = json_pack("{ss ss sb}", "id", key_id, "hash",
 			codec_text(body, "key_hash", ""), "operates", 1);
@@ -492,7 +493,7 @@
 
 	command_begin(&command, agreed, entry, result);
 	command_finish(&command, command_seed(&command, entry->body));
-	command_note_paths(&command);
+	command_record_paths(&command);
 	if (result->code == RESULT_OK)
 		apply_result_add_change(result, CHANGE_KEY,
 					codec_text(entry->body, "key_id", ""),
--- a/libfilberthall/agree/claim.c
+++ b/libfilberthall/agree/claim.c
@@ -12,7 +12,7 @@
  * was in transit when its member was declared gone needs this, for a few
  * seconds; 1,024 members cover days of restarts.
  */
-#define CLAIM_MEMBERS 1024
+#define CLAIM_MAX_GONE_MEMBERS 1024
 
 struct claim_limits claims_default_limits(void)
 {
@@ -40,7 +40,7 @@
 
 static void claim_drop_answer(struct claims *claims, struct claim_entry *entry)
 {
-	list_remove(&entry->kept);
+	list_remove(&entry->kept_node);
 	claims->answer_bytes -= entry->claim.body_len;
 	free(entry->body);
 	entry->body = NULL;
@@ -53,7 +53,7 @@
 {
 	if (entry->claim.kept)
 		claim_drop_answer(claims, entry);
-	list_remove(&entry->age);
+	list_remove(&entry->age_node);
 	map_remove(&claims->by_id, &entry->node);
 	free(entry->body_hash);
 	free(entry->content_type);
@@ -133,7 +133,8 @@
 	return claims->answer_bytes;
 }
 
-static enum result claim_meets(const struct claim *claim, const char *body_hash)
+static enum result claim_open_result(const struct claim *claim,
+				     const char *body_hash)
 {
 	if (body_hash && strcmp(claim->body_hash, body_hash) != 0)
 		return RESULT_KEY_REUSED;
@@ -156,7 +157,7 @@
 	const struct claim *claim = claims_find(claims, id);
 
 	if (claim)
-		return claim_meets(claim, body_hash);
+		return claim_open_result(claim, body_hash);
 	if (claims->by_id.count >= (size_t)claims->limits.max_claims)
 		return RESULT_CLAIM_FULL;
 	return RESULT_OK;
@@ -167,8 +168,8 @@
 {
 	entry->claim.state = state;
 	entry->claim.changed_us = time_us;
-	list_remove(&entry->age);
-	list_append(&claims->by_age, &entry->age);
+	list_remove(&entry->age_node);
+	list_append(&claims->by_age, &entry->age_node);
 }
 
 struct claim_entry *claim_add(struct claims *claims, const char *id,
@@ -182,8 +183,8 @@
 	entry->claim.body_hash = entry->body_hash;
 	entry->claim.owner = *owner;
 	entry->claim.content_type = "";
-	list_init(&entry->kept);
-	list_init(&entry->age);
+	list_init(&entry->kept_node);
+	list_init(&entry->age_node);
 	map_insert(&claims->by_id, &entry->node, map_hash_text(id));
 	return entry;
 }
@@ -205,7 +206,7 @@
 	entry->claim.body_len = len;
 	entry->claim.kept = true;
 	claims->answer_bytes += len;
-	list_append(&claims->kept, &entry->kept);
+	list_append(&claims->kept, &entry->kept_node);
 }
 
 static struct claim_member *claims_find_member(const struct claims *claims,
@@ -217,7 +218,7 @@
 	const struct claim_member *member =
 		claims_find_member(claims, owner->member);
 
-	return member && owner->incarnation <= member->gone;
+	return member && owner->incarnation <= member->gone_incarnation;
 }
 
 /*
@@ -282,12 +283,12 @@
 }
 
 /* Drop the oldest answers beyond the limit; their claims stay. */
-static void claims_bound_answers(struct claims *claims)
+static void claims_drop_excess_answers(struct claims *claims)
 {
 	struct claim_entry *entry;
 	struct claim_entry *next;
 
-	list_foreach_safe(entry, next, &claims->kept, kept) {
+	list_foreach_safe(entry, next, &claims->kept, kept_node) {
 		if ((int64_t)claims->answer_bytes <= claims->limits.max_bytes)
 			break;
 		claim_drop_answer(claims, entry);
@@ -312,7 +313,7 @@
 			       ? RESULT_CONFLICT
 			       : claims_transition(claims, entry, op, time_us);
 	code = claims_finish(claims, entry, op, time_us);
-	claims_bound_answers(claims);
+	claims_drop_excess_answers(claims);
 	return code;
 }
 
@@ -321,12 +322,12 @@
 	struct claim_entry *entry;
 	struct claim_entry *next;
 
-	list_foreach_safe(entry, next, &claims->by_age, age) {
+	list_foreach_safe(entry, next, &claims->by_age, age_node) {
 		if (entry->claim.changed_us + claims->limits.keep_us > time_us)
 			break;
 		claim_forget(claims, entry);
 	}
-	claims_bound_answers(claims);
+	claims_drop_excess_answers(claims);
 }
 
 static bool claims_match_member(const struct map_node *node, const void *member)
@@ -356,10 +357,10 @@
 	} else {
 		map_remove(&claims->members, &member->node);
 	}
-	member->gone = owner->incarnation;
+	member->gone_incarnation = owner->incarnation;
 	map_insert(&claims->members, &member->node,
 		   map_hash(&member->member, sizeof(member->member)));
-	if (claims->members.count <= CLAIM_MEMBERS)
+	if (claims->members.count <= CLAIM_MAX_GONE_MEMBERS)
 		return;
 	member = list_first(&claims->members.order, struct claim_member,
 			    node.order);
@@ -372,7 +373,7 @@
 	const struct claim_entry *entry;
 	uint64_t latest = 0;
 
-	list_foreach(entry, &claims->by_age, age) {
+	list_foreach(entry, &claims->by_age, age_node) {
 		const struct claim *claim = &entry->claim;
 
 		if (claim->owner.member == member &&
@@ -394,7 +395,7 @@
 	if (claims_is_gone(claims, owner))
 		return;
 	claims_remember_gone(claims, owner);
-	list_foreach_safe(entry, next, &claims->by_age, age) {
+	list_foreach_safe(entry, next, &claims->by_age, age_node) {
 		const struct claim *claim = &entry->claim;
 
 		if (claim->owner.member != owner->member ||
--- a/libfilberthall/agree/claim_save.c
+++ b/libfilberthall/agree/claim_save.c
@@ -11,10 +11,10 @@
 	json_t *members = json_array();
 
 	list_foreach(member, &claims->members.order, node.order)
-		json_array_append_new(members,
-				      json_pack("[o o]",
-						codec_uint(member->member),
-						codec_uint(member->gone)));
+		json_array_append_new(
+			members,
+			json_pack("[o o]", codec_uint(member->member),
+				  codec_uint(member->gone_incarnation)));
 	return json_pack("{sI so}", "claims", (json_int_t)claims->by_id.count,
 			 "members", members);
 }
@@ -55,7 +55,7 @@
 	msgpack_packer packer;
 
 	pack_init(&packer, out);
-	list_foreach(entry, &claims->by_age, age) {
+	list_foreach(entry, &claims->by_age, age_node) {
 		if (!in_chunk) {
 			in_chunk = left < CLAIMS_CHUNK ? left : CLAIMS_CHUNK;
 			msgpack_pack_array(&packer, in_chunk);
--- a/libfilberthall/agree/claim_state.h
+++ b/libfilberthall/agree/claim_state.h
@@ -8,8 +8,8 @@
 /** Internals shared by claim.c and claim_save.c; not for other modules. */
 struct claim_entry {
 	struct map_node node;
-	struct list age;  /**< in claims.by_age, oldest change first */
-	struct list kept; /**< in claims.kept, oldest answer first */
+	struct list age_node;  /**< in claims.by_age, oldest change first */
+	struct list kept_node; /**< in claims.kept, oldest answer first */
 	struct claim claim;
 	char *body_hash;
 	char *content_type;
@@ -20,7 +20,7 @@
 struct claim_member {
 	struct map_node node;
 	uint64_t member;
-	uint64_t gone;
+	uint64_t gone_incarnation;
 };
 
 struct claims {
--- a/libfilberthall/agree/lease.c
+++ b/libfilberthall/agree/lease.c
@@ -38,21 +38,22 @@
 {
 	lease->held = true;
 	lease->term = term;
-	lease->until_us = now_us;
+	lease->expires_us = now_us;
 	/*
 	 * The previous leader may still hold its lease and have orders in
 	 * progress, even if it transferred leadership itself.
 	 */
-	lease->first_us = now_us + lease_stretch(lease->options.duration_us,
-						 lease->options.drift_ppm);
+	lease->first_order_us =
+		now_us + lease_stretch(lease->options.duration_us,
+				       lease->options.drift_ppm);
 }
 
 void lease_renew(struct lease *lease, int64_t quorum_us)
 {
 	int64_t until_us = quorum_us + lease->options.duration_us;
 
-	if (lease->held && until_us > lease->until_us)
-		lease->until_us = until_us;
+	if (lease->held && until_us > lease->expires_us)
+		lease->expires_us = until_us;
 }
 
 void lease_lost(struct lease *lease)
@@ -62,8 +63,8 @@
 
 bool lease_valid(const struct lease *lease, int64_t now_us)
 {
-	return lease->held && now_us >= lease->first_us &&
-	       now_us < lease->until_us;
+	return lease->held && now_us >= lease->first_order_us &&
+	       now_us < lease->expires_us;
 }
 
 bool lease_may_order(const struct lease *lease, int64_t timeout_us,
@@ -75,5 +76,5 @@
 
 int64_t lease_order_deadline(const struct lease *lease)
 {
-	return lease->until_us - lease->options.margin_us;
+	return lease->expires_us - lease->options.margin_us;
 }
--- a/libfilberthall/agree/lease.h
+++ b/libfilberthall/agree/lease.h
@@ -41,9 +41,9 @@
 struct lease {
 	struct lease_options options;
 	bool held;
-	int64_t term;	  /**< fencing number */
-	int64_t until_us; /**< holder's clock */
-	int64_t first_us; /**< no order before this, holder's clock */
+	int64_t term;		/**< fencing number */
+	int64_t expires_us;	/**< holder's clock */
+	int64_t first_order_us; /**< no order before this, holder's clock */
 };
 
 /** The default options. */
--- a/libfilberthall/agree/raft_election.c
+++ b/libfilberthall/agree/raft_election.c
@@ -193,7 +193,7 @@
 	raft->transfer_sent = false;
 	lease_elected(&raft->lease, raft->term, now_us);
 	if (raft->options.mutant == RAFT_MUTANT_ORDER_WITHOUT_WAIT)
-		raft->lease.first_us = now_us;
+		raft->lease.first_order_us = now_us;
 	list_foreach(peer, &raft->peers, node) {
 		peer->next = last + 1;
 		peer->match = 0;
--- a/libfilberthall/agree/repair.c
+++ b/libfilberthall/agree/repair.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /** The arguments of member_repair(). */
-struct repair_view {
+struct repair_input {
 	const struct member_policy *policy;
 	const struct members *members;
 	const struct member_health *health;
@@ -12,8 +12,8 @@
 	int64_t now_us;
 };
 
-static const struct member_health *repair_health(const struct repair_view *view,
-						 uint64_t id)
+static const struct member_health *
+repair_health(const struct repair_input *view, uint64_t id)
 {
 	size_t i;
 
@@ -23,7 +23,7 @@
 	return NULL;
 }
 
-static bool repair_is_unreachable(const struct repair_view *view, uint64_t id,
+static bool repair_is_unreachable(const struct repair_input *view, uint64_t id,
 				  int64_t for_us)
 {
 	const struct member_health *health = repair_health(view, id);
@@ -33,7 +33,7 @@
 	return !health || view->now_us - health->last_contact_us >= for_us;
 }
 
-static bool repair_same_place(const struct member *a, const struct member *b)
+static bool repair_same_host(const struct member *a, const struct member *b)
 {
 	return !strcmp(a->vm, b->vm) ||
 	       (a->address[0] && !strcmp(a->address, b->address));
@@ -43,8 +43,8 @@
  * Whether another live member has the same VM or address: then this one's data
  * folder is gone and it can't come back.
  */
-static bool repair_superseded(const struct repair_view *view,
-			      const struct member *member)
+static bool repair_is_superseded(const struct repair_input *view,
+				 const struct member *member)
 {
 	size_t i;
 
@@ -52,7 +52,7 @@
 		const struct member *other = &view->members->items[i];
 
 		if (other->id != member->id &&
-		    repair_same_place(other, member) &&
+		    repair_same_host(other, member) &&
 		    !repair_is_unreachable(view, other->id,
 					   view->policy->voter_timeout_us))
 			return true;
@@ -60,20 +60,20 @@
 	return false;
 }
 
-static bool repair_dead(const struct repair_view *view,
-			const struct member *member)
+static bool repair_is_dead(const struct repair_input *view,
+			   const struct member *member)
 {
 	const struct member_health *health = repair_health(view, member->id);
 	int64_t patience_us = view->policy->voter_timeout_us;
 
 	if (health && health->disk_failed)
 		return true;
-	if (repair_superseded(view, member))
+	if (repair_is_superseded(view, member))
 		patience_us /= 4;
 	return repair_is_unreachable(view, member->id, patience_us);
 }
 
-static int repair_living_voters(const struct repair_view *view)
+static int repair_live_voters(const struct repair_input *view)
 {
 	int living = 0;
 	size_t i;
@@ -81,7 +81,8 @@
 	for (i = 0; i < view->members->count; i++) {
 		const struct member *member = &view->members->items[i];
 
-		if (member->role == MEMBER_VOTER && !repair_dead(view, member))
+		if (member->role == MEMBER_VOTER &&
+		    !repair_is_dead(view, member))
 			living++;
 	}
 	return living;
@@ -91,7 +92,7 @@
  * Number of voters that answered just now; any of the others may have died
  * since.
  */
-static int repair_present_voters(const struct repair_view *view)
+static int repair_present_voters(const struct repair_input *view)
 {
 	int present = 0;
 	size_t i;
@@ -105,13 +106,13 @@
 			continue;
 		present += member->id == view->self ||
 			   (health && health->present &&
-			    !repair_dead(view, member));
+			    !repair_is_dead(view, member));
 	}
 	return present;
 }
 
 /** Number of live voters in a zone. */
-static int repair_zone_voters(const struct repair_view *view, const char *zone)
+static int repair_zone_voters(const struct repair_input *view, const char *zone)
 {
 	int voters = 0;
 	size_t i;
@@ -120,7 +121,8 @@
 		const struct member *member = &view->members->items[i];
 
 		if (member->role == MEMBER_VOTER &&
-		    !strcmp(member->zone, zone) && !repair_dead(view, member))
+		    !strcmp(member->zone, zone) &&
+		    !repair_is_dead(view, member))
 			voters++;
 	}
 	return voters;
@@ -131,18 +133,18 @@
  * caught up. One that hasn't caught up would count towards the quorum without
  * being able to acknowledge anything, so a second loss would stop the group.
  */
-static bool repair_can_vote(const struct repair_view *view,
+static bool repair_can_vote(const struct repair_input *view,
 			    const struct member *member)
 {
 	const struct member_health *health = repair_health(view, member->id);
 
 	return member->role == MEMBER_LEARNER && member->disk && health &&
 	       health->caught_up && health->present &&
-	       !repair_dead(view, member);
+	       !repair_is_dead(view, member);
 }
 
 /** The candidate whose zone has the fewest live voters, or NULL. */
-static const struct member *repair_candidate(const struct repair_view *view,
+static const struct member *repair_candidate(const struct repair_input *view,
 					     int *candidates)
 {
 	const struct member *best = NULL;
@@ -170,7 +172,7 @@
  * Whether a member with a failed disk is alive, so that it may vote again once
  * its disk works.
  */
-static bool repair_may_recover(const struct repair_view *view,
+static bool repair_may_recover(const struct repair_input *view,
 			       const struct member *member)
 {
 	const struct member_health *health = repair_health(view, member->id);
@@ -181,19 +183,19 @@
 }
 
 /** How certain it is that a dead voter won't come back, from 0 to 2. */
-static int repair_loss_certainty(const struct repair_view *view,
+static int repair_loss_certainty(const struct repair_input *view,
 				 const struct member *dead)
 {
 	if (repair_may_recover(view, dead))
 		return 0;
-	return repair_superseded(view, dead) ? 2 : 1;
+	return repair_is_superseded(view, dead) ? 2 : 1;
 }
 
 /**
  * The dead voter that is least likely to come back, or NULL: one whose folder
  * is gone before one that may be partitioned or have a full disk.
  */
-static const struct member *repair_dead_voter(const struct repair_view *view)
+static const struct member *repair_dead_voter(const struct repair_input *view)
 {
 	const struct member *found = NULL;
 	size_t i;
@@ -201,7 +203,8 @@
 	for (i = 0; i < view->members->count; i++) {
 		const struct member *member = &view->members->items[i];
 
-		if (member->role != MEMBER_VOTER || !repair_dead(view, member))
+		if (member->role != MEMBER_VOTER ||
+		    !repair_is_dead(view, member))
 			continue;
 		if (!found || repair_loss_certainty(view, member) >
 				      repair_loss_certainty(view, found))
@@ -220,7 +223,7 @@
  * logs of the three live voters, could not be committed, and prevented each of
  * them from being elected for good.
  */
-static bool repair_can_spare(const struct repair_view *view,
+static bool repair_can_spare(const struct repair_input *view,
 			     const struct member *dead)
 {
 	int voters = members_voters(view->members);
@@ -233,7 +236,7 @@
 
 /** The voter, other than this member, whose zone has the most live voters. */
 static const struct member *
-repair_crowded_zone_voter(const struct repair_view *view, int *zone_voters)
+repair_crowded_zone_voter(const struct repair_input *view, int *zone_voters)
 {
 	const struct member *found = NULL;
 	size_t i;
@@ -281,12 +284,12 @@
  * If the dead voter's folder is known to be gone, it can't come back, and the
  * smaller quorum leaves more room for a further loss.
  */
-static bool repair_adds_first(const struct repair_view *view,
-			      const struct member *dead)
+static bool repair_promotes_first(const struct repair_input *view,
+				  const struct member *dead)
 {
 	int voters = members_voters(view->members);
 
-	return !repair_superseded(view, dead) &&
+	return !repair_is_superseded(view, dead) &&
 	       voters <= view->policy->voters &&
 	       repair_present_voters(view) + 1 >= members_quorum(voters + 1);
 }
@@ -296,12 +299,12 @@
  * replacement is promoted first; otherwise after its removal. Without a
  * replacement it is removed only if a smaller group tolerates more losses.
  */
-static struct member_change repair_voters(const struct repair_view *view)
+static struct member_change repair_voters(const struct repair_input *view)
 {
 	struct member_change none = { .kind = MEMBER_NO_CHANGE };
 	const struct member *dead = repair_dead_voter(view);
 	int voters = members_voters(view->members);
-	int living = repair_living_voters(view);
+	int living = repair_live_voters(view);
 	int candidates;
 	const struct member *candidate = repair_candidate(view, &candidates);
 	bool smaller_is_better = voters > view->policy->voters ||
@@ -309,7 +312,7 @@
 				  (voters % 2 == 0 || voters - living >= 2));
 
 	if (dead && candidate && repair_can_spare(view, dead) &&
-	    repair_adds_first(view, dead))
+	    repair_promotes_first(view, dead))
 		return repair_step(MEMBER_PROMOTE, candidate,
 				   "replaces an unreachable voter");
 	if (dead && (candidate || smaller_is_better) &&
@@ -323,7 +326,7 @@
 }
 
 /** Move a voter from a zone with several to a zone without any. */
-static struct member_change repair_spread(const struct repair_view *view)
+static struct member_change repair_spread(const struct repair_input *view)
 {
 	struct member_change none = { .kind = MEMBER_NO_CHANGE };
 	int voters = members_voters(view->members);
@@ -344,7 +347,7 @@
 	return none;
 }
 
-static struct member_change repair_learners(const struct repair_view *view)
+static struct member_change repair_learners(const struct repair_input *view)
 {
 	struct member_change none = { .kind = MEMBER_NO_CHANGE };
 	size_t i;
@@ -353,7 +356,7 @@
 		const struct member *member = &view->members->items[i];
 		int64_t patience_us = view->policy->learner_timeout_us;
 
-		if (repair_superseded(view, member))
+		if (repair_is_superseded(view, member))
 			patience_us = view->policy->voter_timeout_us / 4;
 		if (member->role == MEMBER_LEARNER &&
 		    repair_is_unreachable(view, member->id, patience_us))
@@ -369,8 +372,8 @@
 				   size_t n_health, uint64_t self,
 				   int64_t now_us)
 {
-	struct repair_view view = { policy,   members, health,
-				    n_health, self,    now_us };
+	struct repair_input view = { policy,   members, health,
+				     n_health, self,	now_us };
 	struct member_change change = repair_voters(&view);
 
 	if (change.kind == MEMBER_NO_CHANGE)
--- a/libfilberthall/agree/settings_change.c
+++ b/libfilberthall/agree/settings_change.c
@@ -195,9 +195,9 @@
 	return !json_equal(edit->old_value, edit->new_value);
 }
 
-static void settings_plan_make(const struct settings_plan *plan,
-			       struct settings *settings,
-			       const struct settings_author *author)
+static void settings_plan_apply(const struct settings_plan *plan,
+				struct settings *settings,
+				const struct settings_author *author)
 {
 	size_t i;
 
@@ -276,7 +276,7 @@
 		code = settings_plan_check(&plan);
 	if (code != RESULT_OK)
 		return code;
-	settings_plan_make(&plan, settings, author);
+	settings_plan_apply(&plan, settings, author);
 	if (cross_check(settings, plan.edits, plan.n, &fault) != RESULT_OK) {
 		settings_plan_undo(&plan, settings);
 		return settings_refuse(handler, &fault);
--- a/libfilberthall/control/control.c
+++ b/libfilberthall/control/control.c
@@ -212,7 +212,7 @@
 			    "event=%s term=%lld until_ms=%lld",
 			    in_charge ? "in-charge" : "not-in-charge",
 			    (long long)raft_term(control->raft),
-			    (long long)((raft_lease(control->raft)->until_us -
+			    (long long)((raft_lease(control->raft)->expires_us -
 					 now_us) /
 					1000));
 		control_drop_reports(control);
--- a/libfilberthall/control/control_duty.c
+++ b/libfilberthall/control/control_duty.c
@@ -263,7 +263,7 @@
 		    "event=report window=%lld try=%d fence=%lld lease_ms=%lld",
 		    (long long)report->window, report->tries,
 		    (long long)lease->term,
-		    (long long)((lease->until_us - now_us) / 1000));
+		    (long long)((lease->expires_us - now_us) / 1000));
 }
 
 static void send_reports(struct control *control, int64_t now_us,
--- a/tests/agree/t-lease.c
+++ b/tests/agree/t-lease.c
@@ -52,8 +52,8 @@
 	/*
 	 * in real time: a slow clock's second is longer, a fast one's shorter
 	 */
-	end_us = elected_us + (old.until_us - elected_us) * 100 / 99;
-	first_us = elected_us + (next.first_us - elected_us) * 100 / 101;
+	end_us = elected_us + (old.expires_us - elected_us) * 100 / 99;
+	first_us = elected_us + (next.first_order_us - elected_us) * 100 / 101;
 	g_assert_cmpint(first_us, >=, end_us);
 }
 
