--- a/libfilberthall/control/control_fleet.c
+++ b/libfilberthall/control/control_fleet.c
@@ -149,7 +149,7 @@
 	for (i = 0; i < sizing.n_zones; i++) {
 		const char *zone = scaling->zones[i].name;
 
-		sizing.zones[i].dry =
+		sizing.zones[i].cheap_unavailable =
 			order_of(control, service->name, zone, true)->dry;
 		count_servers(control, service->name, zone, &sizing.zones[i]);
 	}
--- a/libfilberthall/fleet/backend.c
+++ b/libfilberthall/fleet/backend.c
@@ -137,8 +137,8 @@
 }
 
 /* Whether the address now serves another service or model. */
-static bool backend_changes_work(const struct backend *backend,
-				 const struct event_announce *announce)
+static bool backend_changes_service(const struct backend *backend,
+				    const struct event_announce *announce)
 {
 	const char *service = announce->service ? announce->service : "";
 	const char *model = announce->model ? announce->model : "";
@@ -147,8 +147,8 @@
 	       strcmp(backend->model, model);
 }
 
-static void backend_take_names(struct backend *backend,
-			       const struct event_announce *announce)
+static void backend_set_names(struct backend *backend,
+			      const struct event_announce *announce)
 {
 	copy_name(backend->zone, sizeof(backend->zone), announce->zone);
 	copy_name(backend->service, sizeof(backend->service),
@@ -163,9 +163,9 @@
 	backend->fences = announce->fences;
 }
 
-static void backend_take_figures(struct backend *backend,
-				 const struct event_announce *announce,
-				 int64_t now_us)
+static void backend_set_load(struct backend *backend,
+			     const struct event_announce *announce,
+			     int64_t now_us)
 {
 	int64_t lease_ms = announce->lease_ms;
 
@@ -221,15 +221,15 @@
 		backend->drained = false;
 		backend->leaving = false;
 	}
-	if (backend_changes_work(backend, announce)) {
+	if (backend_changes_service(backend, announce)) {
 		fleet->version++;
 		fleet->removals++;
 	}
 	copy_name(backend->boot_id, sizeof(backend->boot_id), boot_id);
 	left = announce->leaving && !backend->leaving;
 	backend->leaving = announce->leaving;
-	backend_take_names(backend, announce);
-	backend_take_figures(backend, announce, now_us);
+	backend_set_names(backend, announce);
+	backend_set_load(backend, announce, now_us);
 	if (is_new || was_usable != backend_usable(backend, now_us))
 		fleet->version++;
 	if (left)
--- a/libfilberthall/fleet/backend.h
+++ b/libfilberthall/fleet/backend.h
@@ -166,7 +166,7 @@
 double backend_queued_prompt(const struct backend *backend, int64_t now_us);
 
 /** Mark the servers that are much slower than others of the same model. */
-void fleet_compare(struct fleet *fleet);
+void fleet_update_stragglers(struct fleet *fleet);
 
 /**
  * Write one server's announcement for LINK_FLEET: a msgpack array of the
--- a/libfilberthall/fleet/backend_peers.c
+++ b/libfilberthall/fleet/backend_peers.c
@@ -5,7 +5,7 @@
 #include "fleet/backend.h"
 
 /* The median of fewer servers isn't meaningful. */
-#define PEERS_LEAST 3
+#define PEERS_MIN 3
 
 static int compare_double(const void *a, const void *b)
 {
@@ -35,15 +35,15 @@
 	for (i = 0; i < n; i++)
 		if (peers[i]->health.token_us > 0)
 			speeds[known++] = peers[i]->health.token_us;
-	if (known >= PEERS_LEAST) {
+	if (known >= PEERS_MIN) {
 		qsort(speeds, known, sizeof(*speeds), compare_double);
 		median = speeds[known / 2];
 	}
 	for (i = 0; i < n; i++)
-		health_compare(&peers[i]->health, median);
+		health_update_straggler(&peers[i]->health, median);
 }
 
-void fleet_compare(struct fleet *fleet)
+void fleet_update_stragglers(struct fleet *fleet)
 {
 	size_t count = fleet->backends.count;
 	struct backend **sorted = xcalloc(count + 1, sizeof(*sorted));
--- a/libfilberthall/fleet/digest.c
+++ b/libfilberthall/fleet/digest.c
@@ -83,7 +83,8 @@
 	return rows;
 }
 
-static bool digest_row(const msgpack_object *items, int64_t row[DIGEST_ITEMS])
+static bool digest_unpack_row(const msgpack_object *items,
+			      int64_t row[DIGEST_ITEMS])
 {
 	int i;
 
@@ -98,7 +99,7 @@
 }
 
 /* Matches by hash alone: 64 bits suffice for some thousand addresses. */
-static bool digest_any(const struct map_node *node, const void *key)
+static bool digest_match_hash(const struct map_node *node, const void *key)
 {
 	(void)node;
 	(void)key;
@@ -109,13 +110,14 @@
 {
 	struct map_node *node;
 
-	node = map_find(&fleet->backends, address_hash, digest_any, NULL);
+	node = map_find(&fleet->backends, address_hash, digest_match_hash,
+			NULL);
 	return node ? container_of(node, struct backend, node) : NULL;
 }
 
 /* Returns false if the server or its boot isn't known. */
-static bool digest_take_row(struct fleet *fleet, const int64_t *row,
-			    int64_t now_us)
+static bool digest_apply_row(struct fleet *fleet, const int64_t *row,
+			     int64_t now_us)
 {
 	struct backend *backend;
 
@@ -155,9 +157,9 @@
 		goto out;
 	array = &message.data.via.array;
 	for (i = 0; i < array->size; i += DIGEST_ITEMS) {
-		if (!digest_row(array->ptr + i, row))
+		if (!digest_unpack_row(array->ptr + i, row))
 			goto out;
-		if (!digest_take_row(fleet, row, now_us))
+		if (!digest_apply_row(fleet, row, now_us))
 			unknown(unknown_data, (uint64_t)row[DIGEST_ADDRESS]);
 	}
 	code = RESULT_OK;
--- a/libfilberthall/fleet/drain.c
+++ b/libfilberthall/fleet/drain.c
@@ -13,8 +13,8 @@
 	enum drain_state state;
 	int64_t began_us;
 	int64_t deadline_us;
-	int64_t asked_us; /**< when the stop was last requested */
-	char reason[192]; /**< why it is held */
+	int64_t stop_sent_us; /**< when the stop was last requested */
+	char reason[192];     /**< why it is held */
 };
 
 struct drains {
@@ -152,7 +152,7 @@
 static bool drain_is_empty(const struct drain *drain,
 			   const struct backend *backend)
 {
-	return backend->report_us >= drain->began_us + DRAIN_SPREAD_US &&
+	return backend->report_us >= drain->began_us + DRAIN_PROPAGATION_US &&
 	       !backend->running && !backend->queued && !backend->own.running;
 }
 
@@ -160,7 +160,7 @@
 		       int64_t now_us)
 {
 	drain->state = DRAIN_STOPPING;
-	drain->asked_us = now_us;
+	drain->stop_sent_us = now_us;
 	drains->hooks.stop(drains->hooks.data, drain->address);
 }
 
@@ -179,7 +179,7 @@
 		    (policy->cut && now_us >= drain->deadline_us))) {
 		drain_stop(drains, drain, now_us);
 	} else if (drain->state == DRAIN_STOPPING &&
-		   now_us - drain->asked_us >= DRAIN_ASK_US) {
+		   now_us - drain->stop_sent_us >= DRAIN_STOP_RETRY_US) {
 		drain_stop(drains, drain, now_us);
 	}
 }
--- a/libfilberthall/fleet/drain.h
+++ b/libfilberthall/fleet/drain.h
@@ -14,7 +14,7 @@
  * Failures handled:
  * - A stop would interrupt streams: it is ordered only after a load report
  *   shows that nothing runs or waits on the server. The report must be newer
- *   than the start of the drain by DRAIN_SPREAD_US, by when every daemon
+ *   than the start of the drain by DRAIN_PROPAGATION_US, by when every daemon
  *   has stopped sending requests there, also one that was cut off briefly.
  * - A stop would leave a class without capacity: it is held while the other
  *   servers of the model or service have fewer slots than its requests need,
@@ -22,14 +22,14 @@
  * - A stream never ends: at the deadline the setting decides whether to keep
  *   waiting ("wait", reported as overdue) or to stop the server anyway ("cut").
  */
-#define DRAIN_SPREAD_US INT64_C(3000000)
+#define DRAIN_PROPAGATION_US INT64_C(3000000)
 
 /**
  * A server that still announces itself this long after its stop was requested
  * wasn't stopped: the order couldn't be placed, or it was lost. The stop is
  * requested again.
  */
-#define DRAIN_ASK_US INT64_C(30000000)
+#define DRAIN_STOP_RETRY_US INT64_C(30000000)
 
 enum drain_state {
 	DRAIN_HELD,	/**< would leave too little capacity */
--- a/libfilberthall/fleet/health.c
+++ b/libfilberthall/fleet/health.c
@@ -13,9 +13,9 @@
 	double gain;
 
 	health->n_failures = 0;
-	health->hold_us = 0;
-	if (now_us >= health->held_until_us)
-		health->held_until_us = 0;
+	health->backoff_us = 0;
+	if (now_us >= health->backoff_until_us)
+		health->backoff_until_us = 0;
 	if (tokens < 2 || took_us <= 0)
 		return;
 	sample = (double)took_us / (double)(tokens - 1);
@@ -29,19 +29,19 @@
 void health_failed(struct health *health, int64_t now_us)
 {
 	health->n_failures++;
-	if (now_us < health->held_until_us)
+	if (now_us < health->backoff_until_us)
 		return;
-	health->hold_us =
-		health->hold_us ? 2 * health->hold_us : HEALTH_HOLD_FIRST_US;
-	if (health->hold_us > HEALTH_HOLD_MOST_US)
-		health->hold_us = HEALTH_HOLD_MOST_US;
-	health->held_until_us = now_us + health->hold_us;
-	health->back_since_us = health->held_until_us;
+	health->backoff_us = health->backoff_us ? 2 * health->backoff_us
+						: HEALTH_MIN_BACKOFF_US;
+	if (health->backoff_us > HEALTH_MAX_BACKOFF_US)
+		health->backoff_us = HEALTH_MAX_BACKOFF_US;
+	health->backoff_until_us = now_us + health->backoff_us;
+	health->recovery_start_us = health->backoff_until_us;
 }
 
 void health_overdue(struct health *health, int64_t now_us)
 {
-	if (now_us - health->heard_us >= HEALTH_SILENT_US)
+	if (now_us - health->last_token_us >= HEALTH_TOKEN_TIMEOUT_US)
 		health_failed(health, now_us);
 }
 
@@ -51,18 +51,19 @@
 
 	*health = (struct health){ 0 };
 	if (was_known)
-		health->back_since_us = now_us;
+		health->recovery_start_us = now_us;
 }
 
-void health_compare(struct health *health, double median_token_us)
+void health_update_straggler(struct health *health, double median_token_us)
 {
 	bool known = health->n_answers >= HEALTH_MIN_ANSWERS;
 
 	if (!known || median_token_us <= 0)
-		health->straggles = false;
+		health->is_straggler = false;
 	else
-		health->straggles = health->token_us * HEALTH_STRAGGLER_RATIO >
-				    median_token_us;
+		health->is_straggler =
+			health->token_us * HEALTH_STRAGGLER_RATIO >
+			median_token_us;
 }
 
 double health_weight(const struct health *health, int64_t now_us)
@@ -70,15 +71,16 @@
 	double weight = 1;
 	int64_t step;
 
-	if (now_us < health->held_until_us)
+	if (now_us < health->backoff_until_us)
 		return 0;
-	if (health->back_since_us) {
+	if (health->recovery_start_us) {
 		weight = HEALTH_MIN_WEIGHT;
-		for (step = health->back_since_us; step < now_us && weight < 1;
-		     step += HEALTH_RETURN_STEP_US)
+		for (step = health->recovery_start_us;
+		     step < now_us && weight < 1;
+		     step += HEALTH_RECOVERY_STEP_US)
 			weight *= 2;
 	}
-	if (health->straggles)
+	if (health->is_straggler)
 		weight = HEALTH_MIN_WEIGHT;
 	return weight < 1 ? weight : 1;
 }
--- a/libfilberthall/fleet/health.h
+++ b/libfilberthall/fleet/health.h
@@ -27,26 +27,26 @@
 #define HEALTH_STRAGGLER_RATIO 0.5
 
 /** How long a server gets no requests after the first failed attempt. */
-#define HEALTH_HOLD_FIRST_US INT64_C(1000000)
+#define HEALTH_MIN_BACKOFF_US INT64_C(1000000)
 
 /** Upper bound of the backoff, which doubles with each failure. */
-#define HEALTH_HOLD_MOST_US INT64_C(30000000)
+#define HEALTH_MAX_BACKOFF_US INT64_C(30000000)
 
 /** A busy server that sends no token for this long has stopped responding. */
-#define HEALTH_SILENT_US INT64_C(3000000)
+#define HEALTH_TOKEN_TIMEOUT_US INT64_C(3000000)
 
 /** Time in which a recovering server's weight doubles. */
-#define HEALTH_RETURN_STEP_US INT64_C(1000000)
+#define HEALTH_RECOVERY_STEP_US INT64_C(1000000)
 
 struct health {
 	double token_us;   /**< average time between tokens, 0 if unknown */
 	int64_t n_answers; /**< answers in that average */
 	int64_t n_failures; /**< consecutive: crash, no response, no connection */
-	int64_t held_until_us; /**< gets no requests before this */
-	int64_t back_since_us; /**< start of the recovery, 0 if not recovering */
-	int64_t hold_us;       /**< current backoff, 0 if none */
-	int64_t heard_us;      /**< when its last token was received */
-	bool straggles;
+	int64_t backoff_until_us; /**< gets no requests before this */
+	int64_t recovery_start_us; /**< start of the recovery, 0 if not recovering */
+	int64_t backoff_us;	   /**< current backoff, 0 if none */
+	int64_t last_token_us; /**< when its last token was received */
+	bool is_straggler;
 };
 
 /** Record the time between tokens of a successful answer. */
@@ -67,10 +67,10 @@
 void health_reset(struct health *health, int64_t now_us);
 
 /**
- * Set or clear `straggles` by comparison with the median time between
+ * Set or clear `is_straggler` by comparison with the median time between
  * tokens of its peers (0 if unknown).
  */
-void health_compare(struct health *health, double median_token_us);
+void health_update_straggler(struct health *health, double median_token_us);
 
 /** Fraction of its free capacity that may be used now, 0..1. */
 double health_weight(const struct health *health, int64_t now_us);
--- a/libfilberthall/fleet/order.c
+++ b/libfilberthall/fleet/order.c
@@ -12,7 +12,7 @@
 #define ORDER_LIST_ID "order-list"
 
 /* Verb of the fencing entry, which is never sent to the platform. */
-#define ORDER_MARK "charge"
+#define ORDER_FENCE_VERB "charge"
 
 /* A proposal that isn't in the order book after this is taken as lost. */
 #define ORDER_PROPOSE_US INT64_C(45000000)
@@ -162,8 +162,8 @@
  * committed yet (a slow quorum), the next plan would order the same server
  * again, and both orders would be committed.
  */
-static bool orders_are_on_their_way(struct orders *orders,
-				    const struct order_situation *situation)
+static bool orders_are_uncommitted(struct orders *orders,
+				   const struct order_situation *situation)
 {
 	struct sent_order *sent;
 	struct sent_order *next;
@@ -192,7 +192,7 @@
 
 	if (!orders->ready || !order_fits_lease(situation))
 		return RESULT_LEASE_LOST;
-	if (orders_are_on_their_way(orders, situation))
+	if (orders_are_uncommitted(orders, situation))
 		return RESULT_CONFLICT;
 	if (!step->start)
 		order_book_visit(situation->book, order_search_stop, &search);
@@ -268,9 +268,9 @@
 }
 
 /* Settle an accepted order: a start is done once its server is announced. */
-static void orders_follow(struct orders *orders,
-			  const struct order_situation *situation,
-			  const struct placed_order *placed)
+static void orders_check_done(struct orders *orders,
+			      const struct order_situation *situation,
+			      const struct placed_order *placed)
 {
 	struct sent_order *sent = orders_get(orders, placed->order_id);
 	bool start = !strcmp(codec_text(placed->order, "verb", ""), "start");
@@ -297,7 +297,7 @@
 	struct order_tick *tick = data;
 	struct sent_order *sent;
 
-	if (!strcmp(codec_text(placed->order, "verb", ""), ORDER_MARK))
+	if (!strcmp(codec_text(placed->order, "verb", ""), ORDER_FENCE_VERB))
 		return;
 	if (placed->settled) {
 		sent = orders_find(tick->orders, placed->order_id);
@@ -309,7 +309,7 @@
 		orders_send(tick->orders, tick->situation, placed,
 			    tick->effects);
 	else
-		orders_follow(tick->orders, tick->situation, placed);
+		orders_check_done(tick->orders, tick->situation, placed);
 }
 
 /*
@@ -317,8 +317,8 @@
  * this holder has planned without it. So each holder first commits an entry
  * with its own fencing number; the order book then rejects lower ones.
  */
-static void orders_mark(struct orders *orders,
-			const struct order_situation *situation)
+static void orders_place_fence(struct orders *orders,
+			       const struct order_situation *situation)
 {
 	cleanup(free_ptr) char *id =
 		xstrfmt("charge-%lld", (long long)situation->fence);
@@ -333,7 +333,8 @@
 		return;
 	orders->mark_next_us = situation->now_us + ORDER_RETRY_US;
 	mark = json_pack("{ss sI ss}", "order_id", id, "fence",
-			 (json_int_t)situation->fence, "verb", ORDER_MARK);
+			 (json_int_t)situation->fence, "verb",
+			 ORDER_FENCE_VERB);
 	orders->hooks.place(orders->hooks.data, mark);
 	json_decref(mark);
 }
@@ -348,7 +349,7 @@
 		return;
 	}
 	if (!orders->marked)
-		orders_mark(orders, situation);
+		orders_place_fence(orders, situation);
 	if (!orders->marked || situation->now_us < orders->list_next_us ||
 	    !order_fits_lease(situation))
 		return;
@@ -370,7 +371,7 @@
 }
 
 /* Settle orders of the previous lease holder by the platform's list. */
-static void orders_read_back(struct orders *orders,
+static void orders_reconcile(struct orders *orders,
 			     const struct order_situation *situation,
 			     const json_t *list)
 {
@@ -394,10 +395,10 @@
 	orders->ready = true;
 }
 
-static void orders_take_answer(struct orders *orders,
-			       const struct placed_order *placed,
-			       enum result code, const json_t *body,
-			       struct target *target, int64_t now_us)
+static void orders_handle_answer(struct orders *orders,
+				 const struct placed_order *placed,
+				 enum result code, const json_t *body,
+				 struct target *target, int64_t now_us)
 {
 	struct sent_order *sent = orders_get(orders, placed->order_id);
 	const char *state = codec_text(body, "state", "");
@@ -437,9 +438,10 @@
 	placed = order_book_find(situation->book, platform->order_id);
 	if (!strcmp(platform->order_id, ORDER_LIST_ID) && !orders->ready &&
 	    platform->code == RESULT_OK && json_is_array(body))
-		orders_read_back(orders, situation, body);
+		orders_reconcile(orders, situation, body);
 	else if (placed && !placed->settled)
-		orders_take_answer(orders, placed, (enum result)platform->code,
-				   body, target, situation->now_us);
+		orders_handle_answer(orders, placed,
+				     (enum result)platform->code, body, target,
+				     situation->now_us);
 	json_decref(body);
 }
--- a/libfilberthall/fleet/reclaim.c
+++ b/libfilberthall/fleet/reclaim.c
@@ -81,8 +81,9 @@
 	return NULL;
 }
 
-static void reclaim_mark(struct reclaims *reclaims, struct reclaim *reclaim,
-			 const struct fleet *fleet)
+static void reclaim_drain_servers(struct reclaims *reclaims,
+				  struct reclaim *reclaim,
+				  const struct fleet *fleet)
 {
 	struct backend *backend;
 	struct backend *next;
@@ -119,7 +120,7 @@
 	}
 	if (now_us + in_us < reclaim->end_us)
 		reclaim->end_us = now_us + in_us;
-	reclaim_mark(reclaims, reclaim, fleet);
+	reclaim_drain_servers(reclaims, reclaim, fleet);
 }
 
 /* The server with the fewest requests of those not yet moved, or NULL. */
@@ -182,15 +183,15 @@
 	struct reclaim *next;
 
 	list_foreach_safe(reclaim, next, &reclaims->list, node) {
-		reclaim_mark(reclaims, reclaim, fleet);
+		reclaim_drain_servers(reclaims, reclaim, fleet);
 		reclaim_move_due(reclaims, reclaim, fleet, now_us);
 		if (now_us >= reclaim->end_us)
 			reclaim_free(reclaim);
 	}
 }
 
-bool reclaims_zone(const struct reclaims *reclaims, const char *zone,
-		   int64_t now_us)
+bool reclaims_zone_active(const struct reclaims *reclaims, const char *zone,
+			  int64_t now_us)
 {
 	const struct reclaim *reclaim = reclaims_find(reclaims, zone);
 
--- a/libfilberthall/fleet/reclaim.h
+++ b/libfilberthall/fleet/reclaim.h
@@ -47,8 +47,8 @@
 		   int64_t now_us);
 
 /** Whether a zone is being reclaimed now. */
-bool reclaims_zone(const struct reclaims *reclaims, const char *zone,
-		   int64_t now_us);
+bool reclaims_zone_active(const struct reclaims *reclaims, const char *zone,
+			  int64_t now_us);
 
 struct reclaim_counts {
 	int64_t notices;
--- a/libfilberthall/fleet/registry.c
+++ b/libfilberthall/fleet/registry.c
@@ -19,7 +19,7 @@
 		       key);
 }
 
-static void unplace(struct registry *registry,
+static void unindex(struct registry *registry,
 		    struct registry_entry *registered)
 {
 	if (registered->indexed) {
@@ -42,7 +42,7 @@
 static void set_gone(struct registry *registry,
 		     struct registry_entry *registered)
 {
-	unplace(registry, registered);
+	unindex(registry, registered);
 	registered->registration.gone = true;
 }
 
@@ -51,7 +51,7 @@
 	map_init(&registry->by_id);
 	map_init(&registry->by_address);
 	map_init(&registry->by_short_id);
-	registry->timeout_us = REGISTRY_TIMEOUT_HEARTBEATS * beat_us;
+	registry->timeout_us = REGISTRY_TIMEOUT_INTERVALS * beat_us;
 	if (registry->timeout_us < REGISTRY_TIMEOUT_MIN_US)
 		registry->timeout_us = REGISTRY_TIMEOUT_MIN_US;
 	registry->last_contact_us = INT64_MIN / 2;
@@ -156,7 +156,7 @@
 		set_gone(registry, holder);
 		*replaced = holder;
 	}
-	unplace(registry, known);
+	unindex(registry, known);
 	known->registration = *told;
 	if (!told->gone)
 		place(registry, known);
@@ -255,7 +255,7 @@
 			    REGISTRY_TOMBSTONE_US)
 			continue;
 		map_remove(&registry->by_id, &registered->node);
-		unplace(registry, registered);
+		unindex(registry, registered);
 		free(registered);
 	}
 }
--- a/libfilberthall/fleet/registry.h
+++ b/libfilberthall/fleet/registry.h
@@ -72,7 +72,7 @@
  * long enough that a server isn't lost only because the VM that received its
  * last announcements was cut off.
  */
-#define REGISTRY_TIMEOUT_HEARTBEATS 6
+#define REGISTRY_TIMEOUT_INTERVALS 6
 #define REGISTRY_TIMEOUT_MIN_US INT64_C(8000000)
 
 /**
--- a/libfilberthall/fleet/sizing.c
+++ b/libfilberthall/fleet/sizing.c
@@ -41,7 +41,8 @@
 /* Too few cheap servers: keep the steady ones and order what is missing. */
 static void plan_steady(struct sizing *sizing)
 {
-	int64_t missing = part(sizing, SIZING_ENOUGH) - cheap_serving(sizing);
+	int64_t missing =
+		part(sizing, SIZING_MIN_CHEAP) - cheap_serving(sizing);
 	int64_t zones = (int64_t)sizing->n_zones;
 	int64_t each = (missing + zones - 1) / zones;
 	size_t i;
@@ -60,15 +61,16 @@
  * four seconds of a start would be late as well. They are kept until the zones
  * have cheap servers again.
  */
-static void plan_dry(struct sizing *sizing)
+static void plan_unavailable(struct sizing *sizing)
 {
-	int64_t missing = part(sizing, SIZING_LEAST) - cheap_serving(sizing);
+	int64_t missing =
+		part(sizing, SIZING_MIN_WITHOUT_CHEAP) - cheap_serving(sizing);
 	int64_t n_dry = 0;
 	int64_t each;
 	size_t i;
 
 	for (i = 0; i < sizing->n_zones; i++)
-		n_dry += sizing->zones[i].dry;
+		n_dry += sizing->zones[i].cheap_unavailable;
 	if (!n_dry || missing <= 0)
 		return;
 	each = (missing + n_dry - 1) / n_dry;
@@ -76,7 +78,7 @@
 		struct sizing_zone *zone = &sizing->zones[i];
 		int64_t want = each > zone->steady ? each : zone->steady;
 
-		if (zone->dry && want > zone->want_steady)
+		if (zone->cheap_unavailable && want > zone->want_steady)
 			want_steady(sizing, zone, want);
 	}
 }
@@ -99,8 +101,8 @@
 			zone->want_steady = sizing->least;
 	}
 	if (sizing->has_cheap &&
-	    cheap_serving(sizing) < part(sizing, SIZING_ENOUGH))
+	    cheap_serving(sizing) < part(sizing, SIZING_MIN_CHEAP))
 		plan_steady(sizing);
 	if (sizing->has_cheap)
-		plan_dry(sizing);
+		plan_unavailable(sizing);
 }
--- a/libfilberthall/fleet/sizing.h
+++ b/libfilberthall/fleet/sizing.h
@@ -29,20 +29,20 @@
  * Steady servers are kept or ordered while fewer cheap servers than this
  * fraction of the pool's maximum serve. A third carries the mean load.
  */
-#define SIZING_ENOUGH (1.0 / 3)
+#define SIZING_MIN_CHEAP (1.0 / 3)
 
 /**
  * Fraction of the pool's maximum that shall serve while some zone has no cheap
  * servers on offer.
  */
-#define SIZING_LEAST 0.5
+#define SIZING_MIN_WITHOUT_CHEAP 0.5
 
 struct sizing_zone {
-	int64_t steady;	     /**< steady servers that serve now */
-	int64_t cheap;	     /**< cheap servers that serve now */
-	bool dry;	     /**< the last order of a cheap one was refused */
-	int64_t want_steady; /**< out */
-	int64_t want_cheap;  /**< out */
+	int64_t steady;		/**< steady servers that serve now */
+	int64_t cheap;		/**< cheap servers that serve now */
+	bool cheap_unavailable; /**< the last order of a cheap one was refused */
+	int64_t want_steady;	/**< out */
+	int64_t want_cheap;	/**< out */
 };
 
 struct sizing {
--- a/libfilberthall/fleet/target.c
+++ b/libfilberthall/fleet/target.c
@@ -9,10 +9,10 @@
 #include "fleet/target_state.h"
 
 #define TARGET_ZONE_MAX 1000
-#define TARGET_SLOTS 16
+#define TARGET_DEFAULT_SLOTS 16
 
 /* Extrapolate to at most twice the present demand: a trend may end. */
-#define TARGET_AHEAD_MAX 2.0
+#define TARGET_MAX_GROWTH 2.0
 
 struct target *target_new(void)
 {
@@ -73,7 +73,8 @@
 	}
 	entry->pool = *pool;
 	if (!entry->slots)
-		entry->slots = pool->slots > 0 ? pool->slots : TARGET_SLOTS;
+		entry->slots =
+			pool->slots > 0 ? pool->slots : TARGET_DEFAULT_SLOTS;
 }
 
 int target_zone_at(struct target *target, const char *name)
@@ -182,14 +183,14 @@
 }
 
 /* Growth of the demand until a server that is ordered now has started. */
-static double target_ahead(const struct target_entry *entry, double all,
-			   int64_t start_us)
+static double target_growth_factor(const struct target_entry *entry, double all,
+				   int64_t start_us)
 {
 	double ahead = 1;
 
 	if (entry->slope > 0 && all > 0)
 		ahead += entry->slope * (double)start_us / all;
-	return ahead < TARGET_AHEAD_MAX ? ahead : TARGET_AHEAD_MAX;
+	return ahead < TARGET_MAX_GROWTH ? ahead : TARGET_MAX_GROWTH;
 }
 
 void target_note_demand(struct target *target, const char *pool,
@@ -208,10 +209,10 @@
 	for (tier = 0; tier < RULE_TIERS; tier++)
 		all += by_tier[tier];
 	target_follow_slope(entry, all, start_us, now_us);
-	ahead = target_ahead(entry, all, start_us);
+	ahead = target_growth_factor(entry, all, start_us);
 	entry->tier0 = target_peak_note(&entry->tier0_peak, by_tier[0] * ahead,
 					part_us, now_us);
-	entry->firm =
+	entry->non_reclaimable =
 		target_peak_note(&entry->firm_peak, (all - reclaimable) * ahead,
 				 part_us, now_us);
 	entry->all = target_peak_note(&entry->all_peak, all * ahead, part_us,
@@ -313,7 +314,7 @@
 }
 
 /* Reset the backoff of a refused offer once it has yielded a server. */
-static void target_prove_offers(struct target *target)
+static void target_reset_backoffs(struct target *target)
 {
 	const struct target_entry *entry;
 	int zone;
@@ -347,7 +348,7 @@
 	}
 	map_foreach(backend, next, &fleet->backends, node)
 		target_count_server(target, backend);
-	target_prove_offers(target);
+	target_reset_backoffs(target);
 	order_book_visit(book, target_count_order, &count);
 }
 
@@ -444,8 +445,8 @@
 
 	target_count_all(target, fleet, book);
 	list_foreach(entry, &target->pools, node)
-		target_work_out(target, entry, now_us);
-	target_keep_budgets(target);
+		target_compute_wanted(target, entry, now_us);
+	target_apply_budgets(target);
 	list_foreach(entry, &target->pools, node)
 		if (!target_visit_starts(target, entry, visit, data) &&
 		    !entry->starting)
--- a/libfilberthall/fleet/target_plan.c
+++ b/libfilberthall/fleet/target_plan.c
@@ -163,7 +163,7 @@
  * Fraction of a server's slots by which the demand must fall before a server is
  * stopped; otherwise noise around a whole number would start and stop servers.
  */
-#define TARGET_KEEP 0.1
+#define TARGET_SHRINK_MARGIN 0.1
 
 static int64_t target_total(const struct target *target,
 			    const struct target_entry *entry)
@@ -172,7 +172,7 @@
 	int64_t total = target_servers(target, entry, entry->all, spare);
 	int64_t have = target_sum(target, &entry->have, TARGET_STEADY) +
 		       target_sum(target, &entry->have, TARGET_CHEAP);
-	double kept = entry->all + TARGET_KEEP * (double)entry->slots;
+	double kept = entry->all + TARGET_SHRINK_MARGIN * (double)entry->slots;
 
 	if (total < have) {
 		total = target_servers(target, entry, kept, spare);
@@ -182,11 +182,11 @@
 	return target_clamp(total, entry->pool.min, entry->pool.max);
 }
 
-void target_work_out(struct target *target, struct target_entry *entry,
-		     int64_t now_us)
+void target_compute_wanted(struct target *target, struct target_entry *entry,
+			   int64_t now_us)
 {
 	int64_t total = target_total(target, entry);
-	int64_t firm = target_servers(target, entry, entry->firm,
+	int64_t firm = target_servers(target, entry, entry->non_reclaimable,
 				      target->policy.spare);
 	int64_t carried;
 	int64_t cheap;
@@ -205,7 +205,8 @@
 	 * able to serve any request: cheap servers alone would refuse every
 	 * request that may not be reclaimed.
 	 */
-	carried = target_servers(target, entry, entry->all - entry->firm,
+	carried = target_servers(target, entry,
+				 entry->all - entry->non_reclaimable,
 				 target->policy.spare);
 	if (cheap > carried)
 		cheap = carried;
@@ -272,7 +273,7 @@
 	return true;
 }
 
-void target_keep_budgets(struct target *target)
+void target_apply_budgets(struct target *target)
 {
 	struct target_budget *budget;
 
--- a/libfilberthall/fleet/target_state.h
+++ b/libfilberthall/fleet/target_state.h
@@ -42,8 +42,8 @@
 	struct target_peak tier0_peak;
 	struct target_peak firm_peak;
 	struct target_peak all_peak;
-	double tier0; /**< slots, as planned for */
-	double firm;  /**< slots that may not be cheap */
+	double tier0;		/**< slots, as planned for */
+	double non_reclaimable; /**< slots that may not be cheap */
 	double all;
 	double last_all;  /**< last recorded demand */
 	double slope;	  /**< slots per microsecond, smoothed */
@@ -78,11 +78,11 @@
 		       enum target_kind kind, int64_t now_us);
 
 /** Compute entry->want from demand, floor and offers. */
-void target_work_out(struct target *target, struct target_entry *entry,
-		     int64_t now_us);
+void target_compute_wanted(struct target *target, struct target_entry *entry,
+			   int64_t now_us);
 
 /** Reduce the target numbers to the teams' budgets. */
-void target_keep_budgets(struct target *target);
+void target_apply_budgets(struct target *target);
 
 /** Number of servers of one kind in all zones. */
 int64_t target_sum(const struct target *target,
--- a/libfilberthall/load/router_attempt.c
+++ b/libfilberthall/load/router_attempt.c
@@ -242,7 +242,7 @@
 	request = attempt->request;
 	backend = fleet_find(router->options.fleet, attempt->address);
 	if (backend)
-		backend->health.heard_us = now_us;
+		backend->health.last_token_us = now_us;
 	attempt->sent = true;
 	request->may_have_run = true;
 	attempt->tokens = tokens->tokens;
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -84,8 +84,9 @@
 	const struct backend *backend =
 		fleet_find(router->options.fleet, attempt->address);
 
-	return !backend || backend->health.straggles ||
-	       now_us - backend->health.heard_us >= HEALTH_SILENT_US;
+	return !backend || backend->health.is_straggler ||
+	       now_us - backend->health.last_token_us >=
+		       HEALTH_TOKEN_TIMEOUT_US;
 }
 
 /*
@@ -201,7 +202,7 @@
 	if (now_us - router->compared_us >= TIME_COMPARE_US) {
 		router->compared_us = now_us;
 		if (router->options.features.stragglers)
-			fleet_compare(router->options.fleet);
+			fleet_update_stragglers(router->options.fleet);
 		router_drop_keys(router, now_us);
 	}
 	router_share_tick(router, now_us, effects);
--- a/tests/fleet/t-reclaim.c
+++ b/tests/fleet/t-reclaim.c
@@ -47,7 +47,7 @@
 	servers_announce(&seen.fleet, "other:1", "z2", true, 8, 1);
 	reclaims_notice(reclaims, &seen.fleet, "z1", 5 * SECOND_US, 0);
 	g_assert_cmpstr(seen.marked->str, ==, "full:1 half:1 ");
-	g_assert_true(reclaims_zone(reclaims, "z1", SECOND_US));
+	g_assert_true(reclaims_zone_active(reclaims, "z1", SECOND_US));
 	servers_announce(&seen.fleet, "late:1", "z1", true, 0, SECOND_US);
 	for (at = 0; at <= 50; at++) {
 		int64_t now_us = at * SECOND_US / 10;
@@ -60,7 +60,7 @@
 	}
 	g_assert_cmpstr(seen.marked->str, ==, "full:1 half:1 late:1 ");
 	g_assert_cmpstr(seen.moved->str, ==, "late:1 half:1 full:1 ");
-	g_assert_false(reclaims_zone(reclaims, "z1", 5 * SECOND_US));
+	g_assert_false(reclaims_zone_active(reclaims, "z1", 5 * SECOND_US));
 	counts = reclaims_counts(reclaims);
 	g_assert_cmpint(counts.servers, ==, 3);
 	g_assert_cmpint(counts.running, ==, 12);
--- a/tests/fleet/t-sizing.c
+++ b/tests/fleet/t-sizing.c
@@ -67,7 +67,7 @@
 
 	for (i = 0; i < 2; i++) {
 		sizing.zones[i].cheap = 0;
-		sizing.zones[i].dry = true;
+		sizing.zones[i].cheap_unavailable = true;
 	}
 	sizing_plan(&sizing);
 	g_assert_cmpint(sizing.zones[0].want_steady, ==, 2);
@@ -79,7 +79,7 @@
 	sizing_plan(&sizing);
 	g_assert_cmpint(sizing.zones[0].want_steady, ==, 2);
 	/* Cheap ones are to be had again. */
-	sizing.zones[0].dry = false;
+	sizing.zones[0].cheap_unavailable = false;
 	sizing_plan(&sizing);
 	g_assert_cmpint(sizing.zones[0].want_steady, ==, 0);
 }
--- a/tests/load/t-backend.c
+++ b/tests/load/t-backend.c
@@ -144,11 +144,12 @@
 		backend->health.token_us = paces[i];
 		backend->health.n_answers = 10;
 	}
-	fleet_compare(&fleet);
+	fleet_update_stragglers(&fleet);
 	for (i = 0; i < 4; i++) {
 		address[7] = (char)('1' + i);
-		g_assert_true(fleet_find(&fleet, address)->health.straggles ==
-			      (i == 2));
+		g_assert_true(
+			fleet_find(&fleet, address)->health.is_straggler ==
+			(i == 2));
 	}
 	fleet_clear(&fleet);
 }
