--- a/libfilberthall/agree/raft_member.c
+++ b/libfilberthall/agree/raft_member.c
@@ -23,10 +23,13 @@
 	return node ? container_of(node, struct raft_peer, by_id) : NULL;
 }
 
-/** Voters, and learners that may have to take over from one. */
-bool raft_leader_feeds(const struct raft_peer *peer)
+/**
+ * Whether the leader replicates to a peer: to voters, and to learners that may
+ * replace one.
+ */
+bool raft_leader_replicates_to(const struct raft_peer *peer)
 {
-	return peer->member && (peer->votes || peer->has_disk);
+	return peer->is_member && (peer->is_voter || peer->has_disk);
 }
 
 struct raft_peer *raft_peer_get(struct raft *raft, uint64_t id, int64_t now_us)
@@ -40,23 +43,25 @@
 	peer->next = raft_log_last(&raft->log) + 1;
 	peer->probing = true;
 	peer->sent_us = RAFT_NEVER;
-	peer->answered_us = RAFT_NEVER;
-	peer->acked_us = RAFT_NEVER;
-	peer->heard_us = now_us;
+	peer->last_answered_us = RAFT_NEVER;
+	peer->last_acked_us = RAFT_NEVER;
+	peer->last_contact_us = now_us;
 	list_append(&raft->peers, &peer->node);
 	map_insert(&raft->peers_by_id, &peer->by_id, map_hash(&id, sizeof(id)));
 	return peer;
 }
 
-/** Peers that are neither linked nor members are forgotten in time. */
-static void raft_forget_peers(struct raft *raft, int64_t now_us)
+/**
+ * Remove peers that have been neither linked nor members for RAFT_FORGET_US.
+ */
+static void raft_remove_stale_peers(struct raft *raft, int64_t now_us)
 {
 	struct raft_peer *peer;
 	struct raft_peer *next;
 
 	list_foreach_safe(peer, next, &raft->peers, node) {
-		if (peer->up || peer->member ||
-		    now_us - peer->heard_us < RAFT_FORGET_US)
+		if (peer->up || peer->is_member ||
+		    now_us - peer->last_contact_us < RAFT_FORGET_US)
 			continue;
 		list_remove(&peer->node);
 		map_remove(&raft->peers_by_id, &peer->by_id);
@@ -64,7 +69,10 @@
 	}
 }
 
-/** Ask for the links that this member needs to do its part. */
+/**
+ * Request the links that a voter needs to the other voters and to learners with
+ * a disk.
+ */
 static void raft_open_links(const struct raft *raft, struct effects *effects)
 {
 	bool voter = raft_is_voter(raft);
@@ -89,33 +97,36 @@
 	}
 }
 
-/** What each message needs of the configuration, at hand with the peers. */
-static void raft_note_members(struct raft *raft)
+/**
+ * Copy the roles from the membership to the peers, so that handling a message
+ * needs no search.
+ */
+static void raft_update_peer_roles(struct raft *raft)
 {
 	struct raft_peer *peer;
 	size_t i;
 
 	list_foreach(peer, &raft->peers, node) {
-		peer->member = false;
-		peer->votes = false;
+		peer->is_member = false;
+		peer->is_voter = false;
 	}
 	raft->voters = members_voters(&raft->members);
-	raft->self_member = false;
-	raft->self_votes = false;
+	raft->self_is_member = false;
+	raft->self_is_voter = false;
 	for (i = 0; i < raft->members.count; i++) {
 		const struct member *member = &raft->members.items[i];
 		bool votes = member->role == MEMBER_VOTER;
 
 		if (member->id == raft->options.self.id) {
-			raft->self_member = true;
-			raft->self_votes = votes;
+			raft->self_is_member = true;
+			raft->self_is_voter = votes;
 			continue;
 		}
 		peer = raft_peer_get(raft, member->id, raft->fresh_us);
 		if (!peer)
 			continue;
-		peer->member = true;
-		peer->votes = votes;
+		peer->is_member = true;
+		peer->is_voter = votes;
 		peer->has_disk = member->disk;
 	}
 }
@@ -124,14 +135,15 @@
 {
 	struct raft_peer *peer;
 
-	raft_note_members(raft);
+	raft_update_peer_roles(raft);
 	if (raft->role == RAFT_LEADER)
 		list_foreach(peer, &raft->peers, node)
-			peer->feeding = peer->child || raft_leader_feeds(peer);
+			peer->replicating = peer->downstream ||
+					    raft_leader_replicates_to(peer);
 	raft_open_links(raft, effects);
 }
 
-/** A configuration holds as soon as it is in the log. */
+/** Use a new membership as soon as its entry is in the log. */
 void raft_adopt_members(struct raft *raft, const struct raft_entry *entry,
 			struct effects *effects)
 {
@@ -139,7 +151,8 @@
 
 	if (!members_decode(&members, entry->body.data + 1,
 			    entry->body.len - 1)) {
-		raft_say(effects, LOG_ERROR, "a configuration can't be read");
+		raft_say(effects, LOG_ERROR,
+			 "malformed membership entry ignored");
 		return;
 	}
 	members_clear(&raft->members);
@@ -148,7 +161,7 @@
 	raft_members_changed(raft, effects);
 }
 
-/** After entries went away: the latest configuration that is left. */
+/** After entries were removed, use the latest membership that is left. */
 void raft_scan_members(struct raft *raft, struct effects *effects)
 {
 	int64_t i;
@@ -168,9 +181,9 @@
 }
 
 /**
- * One change at a time, and none before an entry of our own term is
- * committed: two configurations whose quorums needn't overlap could otherwise
- * both be in use.
+ * Whether the membership may be changed: one change at a time, and none before
+ * an entry of the current term is committed. Otherwise two memberships whose
+ * quorums don't overlap could both be in use.
  */
 static bool raft_may_change(const struct raft *raft)
 {
@@ -191,7 +204,7 @@
 	members_encode(members, &body);
 	raft_append_own(raft, RAFT_ENTRY_MEMBERS, body.data, body.len, effects);
 	bytes_clear(&body);
-	raft_feed_all(raft, false, now_us, effects);
+	raft_replicate_all(raft, false, now_us, effects);
 }
 
 static void raft_apply_change(struct raft *raft,
@@ -207,7 +220,7 @@
 		 : change->kind == MEMBER_DEMOTE  ? "demote"
 						  : "remove",
 		 change->member.vm, (unsigned long long)change->member.id,
-		 change->reason ? change->reason : "asked for");
+		 change->reason ? change->reason : "operator's request");
 	raft_append_members(raft, &members, now_us, effects);
 	members_clear(&members);
 }
@@ -220,15 +233,18 @@
 	if (!peer)
 		return false;
 	out->id = id;
-	out->last_contact_us = peer->heard_us;
+	out->last_contact_us = peer->last_contact_us;
 	out->applied = peer->applied;
-	out->disk_failed = peer->failed;
-	out->caught_up = peer->feeding && !peer->failed && peer->match &&
+	out->disk_failed = peer->disk_failed;
+	out->caught_up = peer->replicating && !peer->disk_failed &&
+			 peer->match &&
 			 peer->match + RAFT_CAUGHT_UP_ENTRIES >= raft->commit;
 	return true;
 }
 
-/** It answered what we sent so lately that it can hardly have died since. */
+/**
+ * Whether it answered something sent so recently that it has hardly died since.
+ */
 static bool raft_is_present(const struct raft *raft, uint64_t id,
 			    int64_t now_us)
 {
@@ -237,9 +253,10 @@
 
 	if (!peer)
 		return false;
-	if (!peer->votes)
+	if (!peer->is_voter)
 		beat_us = raft->options.learner_heartbeat_us;
-	return now_us - peer->answered_us <= RAFT_PRESENT_HEARTBEATS * beat_us;
+	return now_us - peer->last_answered_us <=
+	       RAFT_PRESENT_HEARTBEATS * beat_us;
 }
 
 static void raft_repair(struct raft *raft, int64_t now_us,
@@ -263,12 +280,12 @@
 	free(health);
 	if (change.kind == MEMBER_NO_CHANGE)
 		return;
-	/* the next step follows as soon as this one is committed */
+	/* the next change follows as soon as this one is committed */
 	raft->repair_at_us = now_us;
 	raft_apply_change(raft, &change, now_us, effects);
 }
 
-/** All VMs that asked to join meanwhile come in by one entry. */
+/** Add all VMs that have asked to join by one entry. */
 static void raft_admit(struct raft *raft, int64_t now_us,
 		       struct effects *effects)
 {
@@ -293,14 +310,14 @@
 	if (now_us < raft->repair_at_us && !raft->joining.count)
 		return;
 	if (now_us >= raft->repair_at_us)
-		raft_forget_peers(raft, now_us);
+		raft_remove_stale_peers(raft, now_us);
 	if (!raft_may_change(raft))
 		return;
 	if (raft->joining.count) {
 		raft_admit(raft, now_us, effects);
 		return;
 	}
-	/* not while the quorum itself is in doubt */
+	/* no repair while the quorum itself is uncertain */
 	if (now_us - raft_quorum_us(raft, now_us) >
 	    RAFT_PRESENT_HEARTBEATS * raft->options.heartbeat_us)
 		return;
@@ -344,12 +361,14 @@
 		return;
 	}
 	if (!next || !next->up)
-		next = raft_peer_find(raft, raft->feeder);
+		next = raft_peer_find(raft, raft->upstream);
 	if (next && next->up && message->offset < RAFT_JOIN_HOPS)
 		raft_send(raft, next->id, &onward, effects);
 }
 
-/** Voters other than `id` that answered within an election time. */
+/**
+ * Number of voters other than `id` that answered within an election timeout.
+ */
 static int raft_living_voters(const struct raft *raft, uint64_t id,
 			      int64_t now_us)
 {
@@ -357,16 +376,16 @@
 	const struct raft_peer *peer;
 
 	list_foreach(peer, &raft->peers, node)
-		if (peer->id != id && peer->votes && !peer->failed &&
-		    now_us - peer->answered_us < raft->options.election_us)
+		if (peer->id != id && peer->is_voter && !peer->disk_failed &&
+		    now_us - peer->last_answered_us < raft->options.election_us)
 			living++;
 	return living;
 }
 
 /**
- * Whether a voter may go, dead or alive. Another one may just have died
- * without our knowing yet, so the rest must bear one loss more than we know
- * of; otherwise the change itself could stop the group for good.
+ * Whether a voter may be removed or demoted, dead or alive. Another voter may
+ * just have died unnoticed, so the rest must tolerate one loss more than is
+ * known; otherwise the change itself could stop the group for good.
  */
 static bool raft_can_spare(const struct raft *raft, uint64_t id, int64_t now_us)
 {
@@ -388,7 +407,7 @@
 
 	raft_health(raft, member->id, &health);
 	if (!member->disk || !health.caught_up ||
-	    now_us - peer->answered_us >= raft->options.election_us)
+	    now_us - peer->last_answered_us >= raft->options.election_us)
 		return RESULT_NOT_CAUGHT_UP;
 	return raft_living_voters(raft, 0, now_us) + 1 >= members_quorum(voters)
 		       ? RESULT_OK
