--- a/libfilberthall/fleet/registry.c
+++ b/libfilberthall/fleet/registry.c
@@ -19,31 +19,29 @@
 		       key);
 }
 
-static void unindex(struct registry *registry,
-		    struct registry_entry *registered)
+static void unindex(struct registry *registry, struct registry_entry *entry)
 {
-	if (registered->indexed) {
-		map_remove(&registry->by_address, &registered->address_node);
-		map_remove(&registry->by_short_id, &registered->short_id_node);
+	if (entry->indexed) {
+		map_remove(&registry->by_address, &entry->address_node);
+		map_remove(&registry->by_short_id, &entry->short_id_node);
 	}
-	registered->indexed = false;
+	entry->indexed = false;
 }
 
-static void place(struct registry *registry, struct registry_entry *registered)
+static void place(struct registry *registry, struct registry_entry *entry)
 {
-	map_insert(&registry->by_address, &registered->address_node,
-		   map_hash_text(registered->registration.address));
-	map_insert(&registry->by_short_id, &registered->short_id_node,
-		   registration_short_id(registered->registration.id,
-					 registered->registration.started_ms));
-	registered->indexed = true;
+	map_insert(&registry->by_address, &entry->address_node,
+		   map_hash_text(entry->registration.address));
+	map_insert(&registry->by_short_id, &entry->short_id_node,
+		   registration_short_id(entry->registration.id,
+					 entry->registration.started_ms));
+	entry->indexed = true;
 }
 
-static void set_gone(struct registry *registry,
-		     struct registry_entry *registered)
+static void set_gone(struct registry *registry, struct registry_entry *entry)
 {
-	unindex(registry, registered);
-	registered->registration.gone = true;
+	unindex(registry, entry);
+	entry->registration.gone = true;
 }
 
 void registry_init(struct registry *registry, int64_t beat_us)
@@ -59,11 +57,11 @@
 
 void registry_clear(struct registry *registry)
 {
-	struct registry_entry *registered;
+	struct registry_entry *entry;
 	struct registry_entry *next;
 
-	map_foreach(registered, next, &registry->by_id, node)
-		free(registered);
+	map_foreach(entry, next, &registry->by_id, node)
+		free(entry);
 	map_clear(&registry->by_id);
 	map_clear(&registry->by_address);
 	map_clear(&registry->by_short_id);
@@ -112,14 +110,14 @@
 	       strcmp(before->zone, told->zone);
 }
 
-static void note_heard(struct registry *registry,
-		       struct registry_entry *registered, int64_t heard_us)
+static void note_heard(struct registry *registry, struct registry_entry *entry,
+		       int64_t heard_us)
 {
-	if (heard_us > registered->last_contact_us)
-		registered->last_contact_us = heard_us;
-	if (registry->last_contact_us - registered->last_contact_us <=
+	if (heard_us > entry->last_contact_us)
+		entry->last_contact_us = heard_us;
+	if (registry->last_contact_us - entry->last_contact_us <=
 	    registry->timeout_us)
-		registered->timed_out = false;
+		entry->timed_out = false;
 	if (heard_us > registry->last_contact_us)
 		registry->last_contact_us = heard_us;
 }
@@ -217,45 +215,43 @@
 		    : NULL;
 }
 
-bool registry_entry_usable(const struct registry_entry *registered)
+bool registry_entry_usable(const struct registry_entry *entry)
 {
-	return !registered->registration.gone &&
-	       !registered->registration.leaving && !registered->timed_out;
+	return !entry->registration.gone && !entry->registration.leaving &&
+	       !entry->timed_out;
 }
 
 int registry_count_usable(const struct registry *registry)
 {
-	struct registry_entry *registered;
+	struct registry_entry *entry;
 	struct registry_entry *next;
 	int n = 0;
 
-	map_foreach(registered, next, &registry->by_id, node)
-		n += registry_entry_usable(registered);
+	map_foreach(entry, next, &registry->by_id, node)
+		n += registry_entry_usable(entry);
 	return n;
 }
 
 void registry_expire(struct registry *registry, int64_t now_us,
-		     void (*silent)(void *data,
-				    struct registry_entry *registered),
+		     void (*silent)(void *data, struct registry_entry *entry),
 		     void *data)
 {
-	struct registry_entry *registered;
+	struct registry_entry *entry;
 	struct registry_entry *next;
 
-	map_foreach(registered, next, &registry->by_id, node) {
-		if (!registered->registration.gone && !registered->timed_out &&
-		    registry->last_contact_us - registered->last_contact_us >
+	map_foreach(entry, next, &registry->by_id, node) {
+		if (!entry->registration.gone && !entry->timed_out &&
+		    registry->last_contact_us - entry->last_contact_us >
 			    registry->timeout_us) {
-			registered->timed_out = true;
+			entry->timed_out = true;
 			if (silent)
-				silent(data, registered);
+				silent(data, entry);
 		}
-		if (!registered->registration.gone ||
-		    now_us - registered->last_contact_us <
-			    REGISTRY_TOMBSTONE_US)
+		if (!entry->registration.gone ||
+		    now_us - entry->last_contact_us < REGISTRY_TOMBSTONE_US)
 			continue;
-		map_remove(&registry->by_id, &registered->node);
-		unindex(registry, registered);
-		free(registered);
+		map_remove(&registry->by_id, &entry->node);
+		unindex(registry, entry);
+		free(entry);
 	}
 }
--- a/libfilberthall/fleet/registry.h
+++ b/libfilberthall/fleet/registry.h
@@ -117,7 +117,7 @@
 void registry_note_contact(struct registry *registry, int64_t heard_us);
 
 /** Whether the server may get new requests. */
-bool registry_entry_usable(const struct registry_entry *registered);
+bool registry_entry_usable(const struct registry_entry *entry);
 
 /** Number of servers that may get new requests. */
 int registry_count_usable(const struct registry *registry);
@@ -135,8 +135,7 @@
  * has newly timed out.
  */
 void registry_expire(struct registry *registry, int64_t now_us,
-		     void (*silent)(void *data,
-				    struct registry_entry *registered),
+		     void (*silent)(void *data, struct registry_entry *entry),
 		     void *data);
 
 #endif
--- a/libfilberthall/usage/begun.c
+++ b/libfilberthall/usage/begun.c
@@ -139,7 +139,7 @@
 	if (!window)
 		return;
 	count_of(source_of(window, 0), organisation)->count.requests++;
-	window->untold = true;
+	window->send_pending = true;
 }
 
 static size_t window_counts(const struct begun_window *window)
@@ -221,9 +221,9 @@
 	struct feed_begun total;
 
 	list_foreach(window, &begun->windows, node) {
-		if (!window->untold)
+		if (!window->send_pending)
 			continue;
-		window->untold = false;
+		window->send_pending = false;
 		total = window_total(window);
 		feed_write_begun(out, &total);
 		free(total.counts);
@@ -237,7 +237,7 @@
 	struct begun_window *window;
 
 	list_foreach(window, &begun->windows, node)
-		window->untold = true;
+		window->send_pending = true;
 }
 
 void begun_take(struct begun *begun, uint64_t id, const struct feed_begun *told)
--- a/libfilberthall/usage/stepout.c
+++ b/libfilberthall/usage/stepout.c
@@ -9,7 +9,7 @@
 {
 	stepout->known = true;
 	stepout->stepping = false;
-	stepout->ahead_us = ahead_us;
+	stepout->offset_us = ahead_us;
 }
 
 static void note_step(struct stepout *stepout, int64_t ahead_us, int64_t now_us)
@@ -26,7 +26,7 @@
 {
 	int64_t ahead_us = wall_us - now_us;
 
-	if (!stepout->known || is_near(stepout->ahead_us, ahead_us)) {
+	if (!stepout->known || is_near(stepout->offset_us, ahead_us)) {
 		believe(stepout, ahead_us);
 		return wall_us;
 	}
@@ -34,5 +34,5 @@
 	if ((agreed_us && is_near(agreed_us, wall_us)) ||
 	    now_us - stepout->step_from_us >= STEPOUT_US)
 		believe(stepout, ahead_us);
-	return now_us + stepout->ahead_us;
+	return now_us + stepout->offset_us;
 }
--- a/libfilberthall/usage/stepout.h
+++ b/libfilberthall/usage/stepout.h
@@ -25,7 +25,7 @@
 
 struct stepout {
 	bool known;
-	int64_t ahead_us;     /**< believed: wall clock less steady clock */
+	int64_t offset_us;    /**< believed: wall clock less steady clock */
 	bool stepping;	      /**< the clock has stepped, not yet believed */
 	int64_t step_us;      /**< offset since then */
 	int64_t step_from_us; /**< when, by the steady clock */
--- a/libfilberthall/usage/wall.c
+++ b/libfilberthall/usage/wall.c
@@ -25,7 +25,7 @@
 {
 	struct wall_vote *vote = vote_of(wall, voter);
 
-	vote->ahead_us = wall_us - now_us;
+	vote->offset_us = wall_us - now_us;
 	vote->at_us = now_us;
 }
 
@@ -48,7 +48,7 @@
 	for (i = 0; i < wall->n_votes; i++)
 		if (now_us - wall->votes[i].at_us <= WALL_OLD_US &&
 		    (with_own || wall->votes[i].voter))
-			ahead[n++] = wall->votes[i].ahead_us;
+			ahead[n++] = wall->votes[i].offset_us;
 	if (n < least)
 		return 0;
 	qsort(ahead, (size_t)n, sizeof(*ahead), compare);
--- a/libfilberthall/usage/wall.h
+++ b/libfilberthall/usage/wall.h
@@ -26,7 +26,7 @@
 
 struct wall_vote {
 	uint64_t voter;
-	int64_t ahead_us; /**< wall clock less our steady clock */
+	int64_t offset_us; /**< wall clock less our steady clock */
 	int64_t at_us;
 };
 
