--- a/libfilberthall/entry/entry_feed.c
+++ b/libfilberthall/entry/entry_feed.c
@@ -1,6 +1,6 @@
 /*
- * What the control VMs tell: the document, how fresh it is, and the backend
- * servers, which become the router's fleet.
+ * Handles messages from control VMs: the document, its freshness, and the
+ * registrations of backend servers, from which the router's fleet is updated.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,29 +12,29 @@
 #include "entry/entry_state.h"
 
 /*
- * How often each control VM is asked. A key must be dead five seconds after
- * it was withdrawn; with an answer twice a second several may be lost before
- * this VM has to stop serving.
+ * Poll interval of each control VM. A key must be rejected five seconds after
+ * it was withdrawn; with an answer every 400 ms several may be lost before this
+ * VM has to stop serving.
  */
 #define POLL_US INT64_C(400000)
 
-/* How often while this VM is out of touch: requests wait for the answer. */
+/* Poll interval while requests are deferred until an answer arrives. */
 #define POLL_STALE_US INT64_C(100000)
 
-/* How often counts of begun requests are told while they change. */
-#define TELL_US INT64_C(100000)
+/* Interval at which counts of started requests are sent while they change. */
+#define USAGE_SEND_US INT64_C(100000)
 
 /*
- * The registry tells which servers live, and a start is announced to the fleet
- * once, so its lease there must outlast any server.
+ * The registry decides which servers are alive, and each start is announced to
+ * the fleet once, so its lease there must be longer than any server runs.
  */
 #define FLEET_LEASE_MS INT64_C(3155760000000)
 
-/* How often silent servers are looked for: thousands are looked through. */
-#define EXPIRE_US INT64_C(250000)
+/* Interval of registry_expire(), which visits thousands of servers. */
+#define REGISTRY_EXPIRE_US INT64_C(250000)
 
-/* How often starts that have long been gone are looked for. */
-#define FORGET_US INT64_C(1000000)
+/* Interval of fleet_expire(), which removes servers that left long ago. */
+#define FLEET_EXPIRE_US INT64_C(1000000)
 
 static void send_all(struct entry *entry, struct bytes *body)
 {
@@ -56,7 +56,7 @@
 	entry->polled_us = entry->now_us;
 }
 
-void entry_tell_begun(struct entry *entry)
+void entry_send_usage(struct entry *entry)
 {
 	struct bytes body = { 0 };
 
@@ -64,18 +64,18 @@
 		return;
 	while (begun_tell(&entry->begun, &body))
 		send_all(entry, &body);
-	entry->told_us = entry->now_us;
+	entry->usage_reported_us = entry->now_us;
 }
 
 static void fetch_document(struct entry *entry, const struct fetch_offer *offer)
 {
 	int64_t held = entry->document ? entry->document->version : 0;
-	struct feed_fetch fetch = { .packed = !entry->plain };
+	struct feed_fetch fetch = { .packed = !entry->uncompressed_only };
 	struct bytes body = { 0 };
 
-	if (!fetch_take_offer(&entry->fetch, offer, held, entry->now_us))
+	if (!fetch_should_request(&entry->fetch, offer, held, entry->now_us))
 		return;
-	entry->totals.documents.asked++;
+	entry->totals.documents.requested++;
 	entry_log(entry, LOG_INFO, "document",
 		  "event=fetch version=%lld held=%lld from=%llx",
 		  (long long)offer->version, (long long)held,
@@ -86,11 +86,11 @@
 }
 
 /*
- * Repeats are limited over all entry VMs, and each keeps to its part. A
- * control VM that some of them can't reach counts too few, so the largest
- * figure counts; without any the last one stays.
+ * The retry limit holds for all entry VMs together, and each uses an equal
+ * part. A control VM without a link to some of them reports too low a number,
+ * so the largest one counts; without any report the last one is kept.
  */
-static void share_retries(struct entry *entry, uint64_t id, int64_t told)
+static void update_retry_limit(struct entry *entry, uint64_t id, int64_t told)
 {
 	struct feed_peer *peer = feed_peer_find(&entry->peers, id);
 	struct retry_limit limit = { entry->options.retry_share,
@@ -100,22 +100,22 @@
 	int64_t most = 0;
 
 	if (peer)
-		peer->entries = told;
+		peer->entry_vms = told;
 	map_foreach(peer, next, &entry->peers, node)
-		if (peer->entries > most)
-			most = peer->entries;
-	if (most == entry->entries || !most)
+		if (peer->entry_vms > most)
+			most = peer->entry_vms;
+	if (most == entry->entry_vms || !most)
 		return;
 	entry_log(entry, LOG_INFO, "retry",
 		  "event=shared entry_vms=%lld before=%lld", (long long)most,
-		  (long long)entry->entries);
-	entry->entries = most;
+		  (long long)entry->entry_vms);
+	entry->entry_vms = most;
 	limit.vms = (int)most;
 	router_limit_retries(entry->router, &limit);
 }
 
-static void take_state(struct entry *entry, uint64_t peer,
-		       const struct feed_state *state)
+static void handle_state(struct entry *entry, uint64_t peer,
+			 const struct feed_state *state)
 {
 	int64_t held = entry->document ? entry->document->version : 0;
 	int64_t fresh_us = state->echo_us - state->age_us;
@@ -123,20 +123,20 @@
 
 	if (state->wall_us)
 		wall_note(&entry->wall, peer, state->wall_us, entry->now_us);
-	share_retries(entry, peer, state->entries);
+	update_retry_limit(entry, peer, state->entry_vms);
 	fetch_document(entry, &offer);
 	/*
-	 * Counted from when we asked: what was withdrawn before the answer
-	 * was made is known, what came later isn't. An answer that took long
-	 * on its way must not look fresh.
+	 * Counted from when the poll was sent: a withdrawal before the answer
+	 * was made is known, a later one isn't. An answer that was delayed in
+	 * transit must not appear fresh.
 	 */
 	if (state->echo_us && state->age_us >= 0 && state->version <= held &&
-	    state->echo_us <= entry->now_us && fresh_us > entry->fresh_us)
-		entry->fresh_us = fresh_us;
+	    state->echo_us <= entry->now_us && fresh_us > entry->fresh_as_of_us)
+		entry->fresh_as_of_us = fresh_us;
 }
 
-static void note_received(struct entry *entry, uint64_t peer,
-			  const struct feed_document *told, int64_t held)
+static void record_received(struct entry *entry, uint64_t peer,
+			    const struct feed_document *told, int64_t held)
 {
 	struct entry_documents *documents = &entry->totals.documents;
 	bool used = told->version > held;
@@ -149,7 +149,8 @@
 		  "asked_ms=%lld used=%d",
 		  (long long)told->version, (long long)held,
 		  (unsigned long long)peer, told->len,
-		  (long long)((entry->now_us - entry->fetch.asked_us) / 1000),
+		  (long long)((entry->now_us - entry->fetch.requested_us) /
+			      1000),
 		  used);
 }
 
@@ -168,13 +169,13 @@
 	return document;
 }
 
-static void take_document(struct entry *entry, uint64_t peer,
-			  const struct feed_document *told)
+static void handle_document(struct entry *entry, uint64_t peer,
+			    const struct feed_document *told)
 {
 	int64_t held = entry->document ? entry->document->version : 0;
 	struct document *document;
 
-	note_received(entry, peer, told, held);
+	record_received(entry, peer, told, held);
 	if (told->version <= held)
 		return;
 	document = read_document(entry, told);
@@ -183,12 +184,12 @@
 			  "event=unreadable version=%lld bytes=%zu packed=%d",
 			  (long long)told->version, told->len,
 			  told->unpacked != 0);
-		entry->plain |= told->unpacked != 0;
+		entry->uncompressed_only |= told->unpacked != 0;
 		return;
 	}
 	document_free(entry->document);
 	entry->document = document;
-	fetch_done(&entry->fetch);
+	fetch_completed(&entry->fetch);
 	entry_log(entry, LOG_INFO, "document",
 		  "event=in-force version=%lld before=%lld routes=%zu "
 		  "organisations=%zu",
@@ -197,7 +198,7 @@
 	entry_poll(entry);
 }
 
-static void take_member(struct entry *entry, const struct feed_member *member)
+static void handle_member(struct entry *entry, const struct feed_member *member)
 {
 	struct effect *effect;
 
@@ -217,7 +218,7 @@
 	struct event_announce announce = {
 		.address = (char *)told->address,
 		.boot_id = boot_id,
-		.sequence = ++entry->announced,
+		.sequence = ++entry->announce_sequence,
 		.zone = (char *)told->zone,
 		.service = (char *)told->service,
 		.lease_ms = FLEET_LEASE_MS,
@@ -230,9 +231,9 @@
 	fleet_drain(&entry->fleet, told->address, false);
 }
 
-/* Bring the router's fleet in line with one registration. */
-static void publish(struct entry *entry,
-		    const struct registry_entry *registered)
+/* Updates the router's fleet from one registration. */
+static void update_fleet(struct entry *entry,
+			 const struct registry_entry *registered)
 {
 	const struct registration *told = &registered->registration;
 	const struct registry_entry *holder =
@@ -256,8 +257,8 @@
 			      1000));
 }
 
-static void take_registration(struct entry *entry,
-			      const struct feed_message *message)
+static void handle_registration(struct entry *entry,
+				const struct feed_message *message)
 {
 	const struct registration *told = &message->u.registration;
 	struct registry_entry *replaced;
@@ -266,35 +267,36 @@
 	outcome = registry_update(&entry->registry, told,
 				  entry->now_us - message->age_us, &replaced);
 	if (replaced)
-		publish(entry, replaced);
+		update_fleet(entry, replaced);
 	if (outcome == REGISTRY_CHANGED)
-		publish(entry, registry_find(&entry->registry, told->id));
+		update_fleet(entry, registry_find(&entry->registry, told->id));
 }
 
-static void heard_alive(struct entry *entry, const char *id, int64_t born_ms,
-			int64_t heard_us)
+static void mark_alive(struct entry *entry, const char *id, int64_t born_ms,
+		       int64_t heard_us)
 {
 	struct registry_entry *known = registry_find(&entry->registry, id);
 	bool was_silent = known && known->timed_out;
 
 	known = registry_heartbeat(&entry->registry, id, born_ms, heard_us);
 	if (known && was_silent && !known->timed_out)
-		publish(entry, known);
+		update_fleet(entry, known);
 }
 
-static void take_alive(struct entry *entry, const struct feed_message *message)
+static void handle_alive(struct entry *entry,
+			 const struct feed_message *message)
 {
 	size_t i;
 
 	for (i = 0; i < message->n_alive; i++) {
 		const struct feed_alive *alive = &message->alive[i];
 
-		heard_alive(entry, alive->id, alive->started_ms,
-			    entry->now_us - alive->age_us);
+		mark_alive(entry, alive->id, alive->started_ms,
+			   entry->now_us - alive->age_us);
 	}
 }
 
-static void take_marks(struct entry *entry, const struct feed_marks *marks)
+static void handle_marks(struct entry *entry, const struct feed_marks *marks)
 {
 	int64_t heard_us = entry->now_us - marks->age_us;
 	struct registry_entry *known;
@@ -305,12 +307,12 @@
 		known = registry_find_short_id(&entry->registry,
 					       feed_mark_at(marks, i));
 		if (known)
-			heard_alive(entry, known->registration.id,
-				    known->registration.started_ms, heard_us);
+			mark_alive(entry, known->registration.id,
+				   known->registration.started_ms, heard_us);
 	}
 }
 
-static void take_bundle(struct entry *entry, const struct feed_bundle *bundle)
+static void handle_bundle(struct entry *entry, const struct feed_bundle *bundle)
 {
 	struct bytes list = { 0 };
 	struct feed_message message;
@@ -327,7 +329,7 @@
 			break;
 		message.age_us += bundle->age_us;
 		if (message.kind == FEED_REGISTRATION)
-			take_registration(entry, &message);
+			handle_registration(entry, &message);
 		feed_clear(&message);
 	}
 	if (len || list.len != bundle->unpacked)
@@ -350,25 +352,25 @@
 	}
 	switch (message.kind) {
 	case FEED_STATE:
-		take_state(entry, peer, &message.u.state);
+		handle_state(entry, peer, &message.u.state);
 		break;
 	case FEED_DOCUMENT:
-		take_document(entry, peer, &message.u.document);
+		handle_document(entry, peer, &message.u.document);
 		break;
 	case FEED_MEMBER:
-		take_member(entry, &message.u.member);
+		handle_member(entry, &message.u.member);
 		break;
 	case FEED_REGISTRATION:
-		take_registration(entry, &message);
+		handle_registration(entry, &message);
 		break;
 	case FEED_ALIVE:
-		take_alive(entry, &message);
+		handle_alive(entry, &message);
 		break;
 	case FEED_MARKS:
-		take_marks(entry, &message.u.marks);
+		handle_marks(entry, &message.u.marks);
 		break;
 	case FEED_BUNDLE:
-		take_bundle(entry, &message.u.bundle);
+		handle_bundle(entry, &message.u.bundle);
 		break;
 	case FEED_POLL:
 	case FEED_FETCH:
@@ -381,17 +383,18 @@
 	feed_clear(&message);
 }
 
-static void now_silent(void *data, struct registry_entry *registered)
+static void on_server_expired(void *data, struct registry_entry *registered)
 {
-	publish(data, registered);
+	update_fleet(data, registered);
 }
 
-static void expire_servers(struct entry *entry)
+static void expire_registry(struct entry *entry)
 {
-	if (entry->now_us - entry->expired_us < EXPIRE_US)
+	if (entry->now_us - entry->registry_expired_us < REGISTRY_EXPIRE_US)
 		return;
-	registry_expire(&entry->registry, entry->now_us, now_silent, entry);
-	entry->expired_us = entry->now_us;
+	registry_expire(&entry->registry, entry->now_us, on_server_expired,
+			entry);
+	entry->registry_expired_us = entry->now_us;
 }
 
 void entry_feed_tick(struct entry *entry)
@@ -400,17 +403,17 @@
 
 	if (entry->now_us - entry->polled_us >= poll_us)
 		entry_poll(entry);
-	entry_count_presumed(entry);
-	if (entry->now_us - entry->told_us >= TELL_US)
-		entry_tell_begun(entry);
-	expire_servers(entry);
-	if (entry->now_us - entry->forgot_us < FORGET_US)
+	entry_resolve_presumed(entry);
+	if (entry->now_us - entry->usage_reported_us >= USAGE_SEND_US)
+		entry_send_usage(entry);
+	expire_registry(entry);
+	if (entry->now_us - entry->fleet_expired_us < FLEET_EXPIRE_US)
 		return;
 	fleet_expire(&entry->fleet, entry->now_us, NULL, NULL);
-	entry->forgot_us = entry->now_us;
+	entry->fleet_expired_us = entry->now_us;
 }
 
-const char *entry_server_at(const struct entry *entry, const char *address)
+const char *entry_server_id_at(const struct entry *entry, const char *address)
 {
 	const struct registry_entry *registered =
 		registry_find_address(&entry->registry, address);
