--- a/libfilberthall/agree/claim_state.h
+++ b/libfilberthall/agree/claim_state.h
@@ -35,7 +35,7 @@
 struct claim_entry *claims_find_entry(const struct claims *claims,
 				      const char *id);
 
-/** Add a claim; claim_set_state() must follow. */
+/** Add a claim; claim_touch() must follow. */
 struct claim_entry *claim_add(struct claims *claims, const char *id,
 			      const char *body_hash,
 			      const struct claim_owner *owner);
