--- a/libfilberthall/usage/begun.h
+++ b/libfilberthall/usage/begun.h
@@ -38,7 +38,7 @@
 /** Entry VM: a request of the organisation began in that window. */
 void begun_add(struct begun *begun, int64_t window, const char *organisation);
 
-/** Entry VM: write the next window with `send_pending` as FEED_BEGUN; false if none is. */
+/** Entry VM: write the next window to be sent as FEED_BEGUN; false if none is. */
 bool begun_tell(struct begun *begun, struct bytes *out);
 
 /** Entry VM: tell everything again, to a control VM that has just come up. */
