--- a/tests/entry/bed.c
+++ b/tests/entry/bed.c
@@ -12,9 +12,9 @@
 #define BORN_MS 7
 
 /*
- * "VERSION KEY": one service, open to whoever has the key. Of the routes
- * "lodge" is more urgent than "shed". The organisation has a rank of its own,
- * below that of the board.
+ * Parses "VERSION KEY": one service and one organisation with that key. Of the
+ * routes "lodge" is more urgent than "shed". The organisation has a rank of its
+ * own, below that of the board.
  */
 static struct document *read_document(void *data, const char *text, size_t len)
 {
--- a/tests/entry/slow_link.c
+++ b/tests/entry/slow_link.c
@@ -12,14 +12,14 @@
 #define PACKET 1460
 #define VERSIONS 64
 
-/* A message on its way to the entry VM. */
+/* A message in transit to the entry VM. */
 struct message {
 	int64_t sent_us;
-	size_t left; /* bytes that are still to come */
+	size_t left; /* bytes not yet delivered */
 	struct bytes body;
 };
 
-/* What one control VM has sent, in order. */
+/* The messages that one control VM has sent, in order. */
 struct flow {
 	GQueue *messages;
 	bool up;
@@ -31,7 +31,7 @@
 	struct effects effects;
 	int64_t now_us;
 	int64_t bytes_per_s;
-	int turn; /* flow whose packet is next */
+	int turn; /* flow that sends the next packet */
 	struct flow flows[SLOW_LINK_PEERS];
 	int64_t version;
 	size_t bytes; /* of the document */
@@ -48,7 +48,7 @@
 	return document;
 }
 
-/* Text without a pattern that packs well: a document is full of names. */
+/* Text that compresses badly, like a document full of names. */
 static char *document_text(int64_t version, size_t len)
 {
 	char *text = g_malloc0(len + 1);
@@ -156,7 +156,7 @@
 	carry_out(link);
 }
 
-/* One packet of the flow whose turn it is; its bytes, 0 if none is due. */
+/* Delivers one packet of the next flow; returns its size, 0 if none is due. */
 static size_t take_packet(struct slow_link *link)
 {
 	int peer = link->turn;
--- a/tests/entry/slow_link.h
+++ b/tests/entry/slow_link.h
@@ -5,31 +5,36 @@
 
 #define SLOW_LINK_PEERS 5
 
-/** An entry VM behind a slow link that carries packets of VMs by turns. */
+/**
+ * An entry VM behind a slow link that carries packets of the control VMs in
+ * turn.
+ */
 struct slow_link;
 
 struct slow_link *slow_link_new(int64_t bytes_per_s);
 void slow_link_free(struct slow_link *link);
 
-/** Let time pass. */
+/** Advances the clock. */
 void slow_link_run(struct slow_link *link, int64_t us);
 
-/** All control VMs have applied that version of `bytes`, and tell of it. */
+/**
+ * All control VMs have applied that version of `bytes` bytes, and announce it.
+ */
 void slow_link_publish(struct slow_link *link, int64_t version, size_t bytes);
 
-/** What that control VM sends is lost; the link stays up. */
+/** Drops what that control VM sends; its link stays up. */
 void slow_link_mute(struct slow_link *link, int peer, bool mute);
 
-/** The next document that is sent is lost on its way. */
+/** Drops the next document that is sent. */
 void slow_link_lose_document(struct slow_link *link);
 
-/** The link of the control VM that was last asked for a document breaks. */
+/** Closes the link of the control VM that was last asked for a document. */
 void slow_link_break_asked(struct slow_link *link);
 
-/** Control VM that was last asked for a document, -1 for none. */
+/** The control VM that was last asked for a document, -1 for none. */
 int slow_link_asked(const struct slow_link *link);
 
-/** When that version came into force, microseconds; -1 if it didn't. */
+/** When that version came into force, in microseconds; -1 if it didn't. */
 int64_t slow_link_in_force_us(const struct slow_link *link, int64_t version);
 int64_t slow_link_now_us(const struct slow_link *link);
 
--- a/tests/entry/t-entry-feed.c
+++ b/tests/entry/t-entry-feed.c
@@ -3,7 +3,7 @@
 
 #include "bed.h"
 
-/* A copy of the document that travelled for nothing shows in the metrics. */
+/* Unused copies of the document are counted in the metrics. */
 static void test_counts_documents(void)
 {
 	struct entry_documents documents;
@@ -21,7 +21,7 @@
 	bed_end(&bed);
 }
 
-/* Guards against a document that only releases without compression take. */
+/* Guards against an entry VM that reads uncompressed documents only. */
 static void test_takes_packed(void)
 {
 	struct bed bed;
@@ -35,7 +35,7 @@
 	bed_end(&bed);
 }
 
-/* Guards against asking for ever for a document in a form that isn't read. */
+/* Guards against requesting an unreadable form of the document for ever. */
 static void test_asks_for_plain(void)
 {
 	struct bed bed;
@@ -53,7 +53,10 @@
 	bed_end(&bed);
 }
 
-/* A server that no control VM hears gets no work; marks tell who is heard. */
+/*
+ * A server without recent announcements gets no requests; marks list the
+ * servers that announced themselves.
+ */
 static void test_marks(void)
 {
 	struct bed bed;
--- a/tests/entry/t-entry-usage.c
+++ b/tests/entry/t-entry-usage.c
@@ -2,7 +2,7 @@
 
 #include "bed.h"
 
-/* One request whose server breaks off 40 ms after it was sent. */
+/* Submits a request whose server closes the connection after 40 ms. */
 static void lose_answer(struct bed *bed)
 {
 	uint64_t id = bed_ask(bed, "/lodge/7", "k1");
@@ -11,7 +11,7 @@
 	bed_end_attempt(bed, id, RESULT_BACKEND_BROKE, 0, true);
 }
 
-/* Requests whose answers were lost were missing from their usage window. */
+/* Guards against usage windows that lack requests whose answer was lost. */
 static void test_lost_answer_counts(void)
 {
 	struct bed bed;
@@ -24,7 +24,7 @@
 	bed_hear_engine(&bed, 9, false);
 	bed_pass(&bed, SECOND / 2);
 	g_assert_cmpint(bed.begun, ==, 1);
-	/* The connection was refused, or nothing was sent: it can't have run. */
+	/* Closed at once, or nothing was sent: the request can't have run. */
 	id = bed_ask(&bed, "/lodge/7", "k1");
 	bed_end_attempt(&bed, id, RESULT_BACKEND_BROKE, 0, true);
 	id = bed_ask(&bed, "/lodge/7", "k1");
@@ -37,7 +37,7 @@
 	bed_end(&bed);
 }
 
-/* Requests that a crashed server had not begun were billed. */
+/* Guards against billing requests that a crashed server hadn't started. */
 static void test_crash_counts_nothing(void)
 {
 	struct bed bed;
--- a/tests/entry/t-entry.c
+++ b/tests/entry/t-entry.c
@@ -33,7 +33,7 @@
 	bed_end(&bed);
 }
 
-/* A VM that is out of touch runs nothing; what it can't decide it refuses. */
+/* A stale VM runs nothing and refuses what it can't decide. */
 static void check_stale(struct bed *bed)
 {
 	uint64_t id = bed_ask(bed, "/lodge/7", "k1");
@@ -46,9 +46,9 @@
 }
 
 /*
- * A key is withdrawn while this VM is cut off. It can't know, so it must stop
- * serving that key's holder before the key has to be dead, and serve again
- * once it has heard what holds now.
+ * A key is withdrawn while this VM is partitioned off. It must stop serving the
+ * key's organisation before the key has to be rejected, and serve again once it
+ * has received the newest document.
  */
 static void test_cut_off(void)
 {
@@ -72,8 +72,8 @@
 }
 
 /*
- * The answer to a poll took four seconds on its way. Counted from when it
- * came, this VM would serve a withdrawn key for four seconds too long.
+ * The answer to a poll is delayed by four seconds. Counted from its arrival,
+ * this VM would serve a withdrawn key for four seconds too long.
  */
 static void test_slow_answer(void)
 {
@@ -89,7 +89,7 @@
 	bed_end(&bed);
 }
 
-/* The control VM's own proof was old when it answered. */
+/* The control VM's own confirmation by a quorum was old when it answered. */
 static void test_old_proof(void)
 {
 	struct bed bed;
@@ -104,8 +104,8 @@
 }
 
 /*
- * All VMs lost power. Callers that are sent away come back once; those that
- * wait a moment are served as soon as a leader is there again.
+ * All VMs lose power. Refused callers retry only once; deferred requests are
+ * served as soon as a leader is elected.
  */
 static void test_waits_for_fresh(void)
 {
@@ -122,7 +122,7 @@
 	bed_end(&bed);
 }
 
-/* A caller that leaves while it waits so is forgotten. */
+/* The deferred request of a caller that leaves is dropped. */
 static void test_leaves_waiting(void)
 {
 	struct bed bed;
@@ -137,7 +137,7 @@
 	bed_end(&bed);
 }
 
-/* An older document that comes late changes nothing. */
+/* An older document that arrives late changes nothing. */
 static void test_late_document(void)
 {
 	struct bed bed;
@@ -152,7 +152,7 @@
 	bed_end(&bed);
 }
 
-/* A server that leaves gets nothing more, and its late "ready" is no news. */
+/* A leaving server gets no more requests, and a delayed "ready" is ignored. */
 static void test_leaving(void)
 {
 	struct bed bed;
@@ -166,8 +166,8 @@
 }
 
 /*
- * A planned stop: what comes at first is still taken, what comes later could
- * not be ended before the process is and is refused as not run.
+ * A planned stop: early requests are accepted; later ones, which could not
+ * complete before the process ends, are refused as not run.
  */
 static void test_stop(void)
 {
@@ -194,9 +194,10 @@
 }
 
 /*
- * Both VMs of a zone are being stopped, and the balancer knows no other for its
- * callers. A request with four seconds came three seconds after the signal, to a
- * VM with five seconds left, and was refused until its time was over.
+ * Both VMs of a zone are being stopped, and the balancer has no other VM for
+ * its callers. A request with a four-second deadline arrived three seconds
+ * after the signal, at a VM with five seconds left, and was refused until its
+ * deadline passed.
  */
 static void test_stop_takes_short(void)
 {
@@ -216,9 +217,9 @@
 }
 
 /*
- * Another VM fills a server, which says so with an answer to us. Nothing more
- * is sent there, so it says nothing more: without fading the callers here
- * would wait out their deadlines before an idle server.
+ * Another VM fills a server, which reports so in an answer to this VM. Nothing
+ * more is sent there, so no newer report arrives: unless the figures are
+ * decayed, callers wait out their deadlines although the server is idle.
  */
 static void test_full_server(void)
 {
@@ -237,9 +238,9 @@
 }
 
 /*
- * Both routes are of one organisation, whose rank made them equal: with the
- * server full an urgent request waited behind what was less urgent and came
- * earlier, and was refused first when time grew short.
+ * Both routes belong to one organisation, whose rank made them equal: at a full
+ * server an urgent request waited behind less urgent ones that arrived earlier,
+ * and was refused first when time became short.
  */
 static void test_urgent_route(void)
 {
@@ -259,9 +260,10 @@
 }
 
 /*
- * Two zones' cheap servers were reclaimed and steady ones bought for them. All
- * work still went to the third zone's cheap ones, whose slots never filled:
- * 124 requests expired there in 12 s while seven bought servers idled.
+ * The reclaimable servers of two zones were reclaimed and permanent ones
+ * ordered instead. All requests still went to the third zone's reclaimable
+ * servers, whose slots never filled: 124 requests expired there in 12 s while
+ * seven permanent servers were idle.
  */
 static void test_steady_beside_cheap(void)
 {
@@ -279,8 +281,8 @@
 }
 
 /*
- * A site with more different goals than there was room for: the class that was
- * used least lately went, and refused those who waited in it.
+ * A site had more different latency targets than classes: the class used least
+ * recently was removed, and the requests waiting in it were refused.
  */
 static void test_many_goals(void)
 {
@@ -305,9 +307,9 @@
 }
 
 /*
- * A server answers wrongly, and those beside it are leaving but still known.
- * The request was kept from the one server that was left, waited out its
- * deadline and ended as expired after 4 s, where it could be tried again.
+ * A server sends a wrong answer, and the other servers are leaving but still
+ * known. The retry was kept from the only remaining server, and the request
+ * expired after 4 s, although it could have been retried there.
  */
 static void test_only_server_left(void)
 {
@@ -326,7 +328,7 @@
 	bed_end(&bed);
 }
 
-/* Requests whose first server fails; how many go to another one. */
+/* Submits requests whose first server fails; returns how many are retried. */
 static int repeated(struct bed *bed, int requests)
 {
 	int n = 0;
@@ -346,9 +348,9 @@
 }
 
 /*
- * A service fails. Each entry VM of a large site repeated as many requests as
- * a small site's may, and together they sent the failing servers more than
- * the site allows. Told how many share the limit, each keeps to its part.
+ * A service fails. Each entry VM of a large site retried as many requests as a
+ * small site's may, and together they exceeded the site's limit. Each must use
+ * its part of the limit, by the number of entry VMs.
  */
 static void test_shares_retries(void)
 {
@@ -360,14 +362,17 @@
 	bed.entries = 66;
 	bed_hear_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpint(repeated(&bed, 20), <=, 4);
-	/* One control VM that has lost sight of the others changes nothing. */
+	/* A control VM without links to the other entry VMs changes nothing. */
 	bed.entries = 0;
 	bed_hear_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpint(repeated(&bed, 20), <=, 4);
 	bed_end(&bed);
 }
 
-/* Rejected, so not run: another server may have it, though it may run once. */
+/*
+ * A rejected request hasn't run, so another server may get it, even on a route
+ * whose requests may run only once.
+ */
 static void test_rejected(void)
 {
 	struct bed bed;
@@ -382,7 +387,7 @@
 	bed_end(&bed);
 }
 
-/* The answer was lost: it may have run, so it is not sent again. */
+/* The answer was lost: the request may have run, so it isn't sent again. */
 static void test_answer_lost(void)
 {
 	struct bed bed;
@@ -408,9 +413,9 @@
 }
 
 /*
- * A server's memory is full, and it stops the newest of the least urgent. With
- * the organisation's rank first, singers' cues stopped in the middle while the
- * board's long prompts, which have two seconds, were read on beside them.
+ * A server out of memory stops the newest of the least urgent requests. With
+ * the organisation's rank first, singers' cues were stopped midway while the
+ * prefill of the board's long prompts, with a target of two seconds, continued.
  */
 static void test_urgency(void)
 {
@@ -429,9 +434,9 @@
 }
 
 /*
- * A site serves for a day and then refuses everything for want of servers. They
- * are all well, and as nothing changed, nobody announced them again: the lease
- * that the entry VM had given them had run out.
+ * After a day a site refused everything for lack of servers. All servers were
+ * healthy, but as nothing had changed they weren't announced again, and the
+ * lease that the entry VM had given them had expired.
  */
 static void test_server_of_yesterday(void)
 {
@@ -446,8 +451,8 @@
 }
 
 /*
- * A server that has left comes back as the same start, said by a control VM
- * that was cut off, after the entry VM has forgotten it: it serves again.
+ * A server that left is reported again with the same start by a control VM that
+ * was partitioned off, after the entry VM has removed it: it serves again.
  */
 static void test_forgotten_server(void)
 {
--- a/tests/entry/t-fetch.c
+++ b/tests/entry/t-fetch.c
@@ -6,7 +6,7 @@
 #define LINK_BYTES_PER_S 1250000
 #define DOCUMENT_BYTES 830000
 
-/* An acknowledged version is in force everywhere so soon. */
+/* An acknowledged version must be in force everywhere within this time. */
 #define IN_FORCE_US (2500 * MS)
 
 static struct slow_link *start(void)
@@ -43,7 +43,7 @@
 	slow_link_free(link);
 }
 
-/* Guards against copies of a document that nobody uses. */
+/* Guards against unused copies of a document. */
 static void test_one_copy_a_version(void)
 {
 	struct slow_link *link = start();
@@ -55,7 +55,7 @@
 	slow_link_free(link);
 }
 
-/* Guards against an entry VM that stays behind in a series of changes. */
+/* Guards against an entry VM that lags behind a series of changes. */
 static void test_series(void)
 {
 	struct slow_link *link = start();
@@ -104,7 +104,7 @@
 	slow_link_free(link);
 }
 
-/* Guards against waiting for a control VM whose link is gone. */
+/* Guards against waiting for a control VM whose link is down. */
 static void test_link_lost(void)
 {
 	struct slow_link *link = start();
