--- a/bench/sched-cost.c
+++ b/bench/sched-cost.c
@@ -20,7 +20,7 @@
 
 struct bed {
 	struct sched sched;
-	struct sched_entry *entries;
+	struct sched_entry *entry_vms;
 	struct rng rng;
 	uint64_t sequence;
 };
@@ -55,9 +55,9 @@
 	sched_init(&bed.sched);
 	for (i = 0; i < COST_CLASSES; i++)
 		sched_set_class(&bed.sched, (int)i, (int)(i % SCHED_TIERS));
-	bed.entries = xcalloc(queued, sizeof(*bed.entries));
+	bed.entry_vms = xcalloc(queued, sizeof(*bed.entry_vms));
 	for (i = 0; i < queued; i++)
-		bed_push(&bed, &bed.entries[i], organisations);
+		bed_push(&bed, &bed.entry_vms[i], organisations);
 	began = now_ns();
 	for (i = 0; i < COST_DECISIONS; i++) {
 		uint64_t served;
@@ -71,7 +71,7 @@
 	}
 	took = now_ns() - began;
 	sched_clear(&bed.sched);
-	free(bed.entries);
+	free(bed.entry_vms);
 	return took / COST_DECISIONS;
 }
 
--- a/libfilberthall/entry/entry.c
+++ b/libfilberthall/entry/entry.c
@@ -107,7 +107,8 @@
 	free(entry);
 }
 
-static void begin(struct entry *entry, int64_t now_us, struct effects *effects)
+static void set_context(struct entry *entry, int64_t now_us,
+			struct effects *effects)
 {
 	entry->now_us = now_us;
 	entry->effects = effects;
@@ -146,7 +147,7 @@
 
 void entry_tick(struct entry *entry, int64_t now_us, struct effects *effects)
 {
-	begin(entry, now_us, effects);
+	set_context(entry, now_us, effects);
 	entry_feed_tick(entry);
 	if (now_us - entry->load_decayed_us >= LOAD_DECAY_US) {
 		entry->load_decayed_us = now_us;
@@ -168,7 +169,7 @@
 void entry_link_up(struct entry *entry, const struct event_link_up *up,
 		   int64_t now_us, struct effects *effects)
 {
-	begin(entry, now_us, effects);
+	set_context(entry, now_us, effects);
 	if (up->observer)
 		return;
 	feed_peer_up(&entry->peers, up->peer, false);
@@ -183,7 +184,7 @@
 {
 	struct feed_peer *peer = feed_peer_find(&entry->peers, id);
 
-	begin(entry, now_us, effects);
+	set_context(entry, now_us, effects);
 	if (!peer)
 		return;
 	entry_log(entry, LOG_INFO, "link", "event=down peer=%llx left=%zu",
@@ -197,7 +198,7 @@
 			const struct event_link_message *message,
 			int64_t now_us, struct effects *effects)
 {
-	begin(entry, now_us, effects);
+	set_context(entry, now_us, effects);
 	if (message->channel == LINK_FEED &&
 	    feed_peer_find(&entry->peers, message->peer))
 		entry_feed_message(entry, message->peer, &message->body);
@@ -208,7 +209,7 @@
 void entry_stop(struct entry *entry, int64_t now_us, int64_t grace_us,
 		struct effects *effects)
 {
-	begin(entry, now_us, effects);
+	set_context(entry, now_us, effects);
 	if (entry->stop_requested_us)
 		return;
 	entry_log(entry, LOG_INFO, "daemon", "event=stop open=%zu",
--- a/tests/entry/bed.c
+++ b/tests/entry/bed.c
@@ -76,7 +76,7 @@
 	return document;
 }
 
-static void look(struct bed *bed)
+static void process_effects(struct bed *bed)
 {
 	struct feed_message message;
 	struct effect *effect;
@@ -102,37 +102,39 @@
 				bed->polled_us = message.u.poll.sent_us;
 			bed->fetched |= message.kind == FEED_FETCH;
 			if (message.kind == FEED_FETCH)
-				bed->packed = message.u.fetch.packed;
-			bed->told += message.kind == FEED_BEGUN;
+				bed->fetch_compressed = message.u.fetch.packed;
+			bed->usage_reports += message.kind == FEED_BEGUN;
 			if (message.kind == FEED_BEGUN)
-				bed->begun = message.u.begun.counts[0].requests;
+				bed->reported_requests =
+					message.u.begun.counts[0].requests;
 			feed_clear(&message);
 		}
 		effect_free(effect);
 	}
 }
 
-static void hear(struct bed *bed, struct bytes *body)
+static void deliver(struct bed *bed, struct bytes *body)
 {
 	struct event_link_message message = { CONTROL, LINK_FEED, *body };
 
 	entry_link_message(bed->entry, &message, bed->now_us, &bed->effects);
 	bytes_clear(body);
-	look(bed);
+	process_effects(bed);
 }
 
-void bed_hear_state(struct bed *bed, int64_t echo_us, int64_t age_us,
-		    int64_t version)
+void bed_deliver_state(struct bed *bed, int64_t echo_us, int64_t age_us,
+		       int64_t version)
 {
 	struct feed_state state = { echo_us, age_us, version,
-				    1000 * SECOND + bed->now_us, bed->entries };
+				    1000 * SECOND + bed->now_us,
+				    bed->entry_vms };
 	struct bytes body = { 0 };
 
 	feed_write_state(&body, &state);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
-void bed_hear_document(struct bed *bed, int64_t version, const char *key)
+void bed_deliver_document(struct bed *bed, int64_t version, const char *key)
 {
 	char *text = g_strdup_printf("%d %s", (int)version, key);
 	struct feed_document told = { version, text, strlen(text), 0 };
@@ -140,10 +142,10 @@
 
 	feed_write_document(&body, &told);
 	g_free(text);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
-void bed_hear_packed(struct bed *bed, int64_t version, const char *key)
+void bed_deliver_compressed(struct bed *bed, int64_t version, const char *key)
 {
 	char *text = g_strdup_printf("%d %s", (int)version, key);
 	struct document *document = read_document(NULL, text, strlen(text));
@@ -162,20 +164,20 @@
 	bytes_clear(&packed);
 	document_free(document);
 	g_free(text);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
-void bed_hear_damaged(struct bed *bed, int64_t version)
+void bed_deliver_damaged(struct bed *bed, int64_t version)
 {
 	struct feed_document told = { version, "noise", 5, 100 };
 	struct bytes body = { 0 };
 
 	feed_write_document(&body, &told);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
-void bed_hear_other(struct bed *bed, const char *address, int64_t sequence,
-		    bool cheap, bool leaving)
+void bed_deliver_server(struct bed *bed, const char *address, int64_t sequence,
+			bool cheap, bool leaving)
 {
 	struct registration told = { .service = "desk",
 				     .zone = "z1",
@@ -189,10 +191,10 @@
 	g_strlcpy(told.id, address, sizeof(told.id));
 	g_strlcpy(told.address, address, sizeof(told.address));
 	feed_write_registration(&body, &told, 0);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
-void bed_hear_marks(struct bed *bed, const char *address, bool engine)
+void bed_deliver_marks(struct bed *bed, const char *address, bool engine)
 {
 	struct feed_marks marks = { 0 };
 	struct bytes list = { 0 };
@@ -205,7 +207,7 @@
 	marks.len = list.len;
 	feed_write_marks(&body, &marks);
 	bytes_clear(&list);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
 static void add_server(struct bytes *list, const char *address)
@@ -224,7 +226,7 @@
 	bytes_clear(&body);
 }
 
-void bed_hear_bundle(struct bed *bed, bool whole)
+void bed_deliver_bundle(struct bed *bed, bool whole)
 {
 	struct feed_bundle bundle = { 0 };
 	struct bytes packed = { 0 };
@@ -242,10 +244,10 @@
 	feed_write_bundle(&body, &bundle);
 	bytes_clear(&list);
 	bytes_clear(&packed);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
-void bed_hear_engine(struct bed *bed, int64_t sequence, bool leaving)
+void bed_deliver_engine(struct bed *bed, int64_t sequence, bool leaving)
 {
 	struct registration told = { .id = "s1",
 				     .address = ENGINE,
@@ -258,17 +260,17 @@
 	struct bytes body = { 0 };
 
 	feed_write_registration(&body, &told, 0);
-	hear(bed, &body);
+	deliver(bed, &body);
 }
 
-void bed_pass(struct bed *bed, int64_t us)
+void bed_advance(struct bed *bed, int64_t us)
 {
 	int64_t until_us = bed->now_us + us;
 
 	while (bed->now_us < until_us) {
 		bed->now_us += 50000;
 		entry_tick(bed->entry, bed->now_us, &bed->effects);
-		look(bed);
+		process_effects(bed);
 	}
 }
 
@@ -292,11 +294,11 @@
 	bed->now_us = 100 * SECOND;
 	bed->entry = entry_new(&options, bed->now_us);
 	entry_link_up(bed->entry, &up, bed->now_us, &bed->effects);
-	look(bed);
-	bed_hear_state(bed, bed->polled_us, 0, 1);
-	bed_hear_document(bed, 1, "k1");
-	bed_hear_state(bed, bed->polled_us, 0, 1);
-	bed_hear_engine(bed, 1, false);
+	process_effects(bed);
+	bed_deliver_state(bed, bed->polled_us, 0, 1);
+	bed_deliver_document(bed, 1, "k1");
+	bed_deliver_state(bed, bed->polled_us, 0, 1);
+	bed_deliver_engine(bed, 1, false);
 }
 
 void bed_end(struct bed *bed)
@@ -317,7 +319,7 @@
 	};
 
 	entry_submit(bed->entry, &request, bed->now_us, &bed->effects);
-	look(bed);
+	process_effects(bed);
 	return request.id;
 }
 
@@ -337,7 +339,7 @@
 					     .sent = sent };
 
 	entry_attempt_ended(bed->entry, &ended, bed->now_us, &bed->effects);
-	look(bed);
+	process_effects(bed);
 }
 
 void bed_check_refused(struct bed *bed, uint64_t id, enum result code)
--- a/tests/entry/bed.h
+++ b/tests/entry/bed.h
@@ -18,7 +18,7 @@
 	int64_t now_us;
 	int64_t polled_us; /* send time of the last poll */
 	bool fetched;
-	bool packed; /* the last request accepted a compressed document */
+	bool fetch_compressed; /* the last request accepted a compressed document */
 	uint64_t next_id;
 	uint64_t started; /* the request sent to a server last */
 	uint64_t answered;
@@ -26,32 +26,32 @@
 	int64_t run;
 	int64_t retry_ms;
 	bool exited;
-	int told;	 /* usage reports sent */
-	int64_t begun;	 /* count of one organisation in the last report */
-	int at_steady;	 /* attempts at STEADY */
-	int64_t entries; /* number of entry VMs that the control VM reports */
+	int usage_reports;	   /* usage reports sent */
+	int64_t reported_requests; /* count of one organisation in the last report */
+	int at_steady;		   /* attempts at STEADY */
+	int64_t entry_vms; /* number of entry VMs that the control VM reports */
 };
 
 /** Delivers a control VM's answer to a poll: age and version. */
-void bed_hear_state(struct bed *bed, int64_t echo_us, int64_t age_us,
-		    int64_t version);
+void bed_deliver_state(struct bed *bed, int64_t echo_us, int64_t age_us,
+		       int64_t version);
 /** Delivers the document of that version, with one valid key. */
-void bed_hear_document(struct bed *bed, int64_t version, const char *key);
+void bed_deliver_document(struct bed *bed, int64_t version, const char *key);
 /** Delivers the same document, compressed. */
-void bed_hear_packed(struct bed *bed, int64_t version, const char *key);
+void bed_deliver_compressed(struct bed *bed, int64_t version, const char *key);
 /** Delivers a compressed document that can't be decompressed. */
-void bed_hear_damaged(struct bed *bed, int64_t version);
+void bed_deliver_damaged(struct bed *bed, int64_t version);
 /** Delivers the registration of another server, permanent or reclaimable. */
-void bed_hear_other(struct bed *bed, const char *address, int64_t sequence,
-		    bool cheap, bool leaving);
+void bed_deliver_server(struct bed *bed, const char *address, int64_t sequence,
+			bool cheap, bool leaving);
 /** Delivers the registration of the server at ENGINE. */
-void bed_hear_engine(struct bed *bed, int64_t sequence, bool leaving);
+void bed_deliver_engine(struct bed *bed, int64_t sequence, bool leaving);
 /** Delivers marks for that server, and for ENGINE too if `engine`. */
-void bed_hear_marks(struct bed *bed, const char *address, bool engine);
+void bed_deliver_marks(struct bed *bed, const char *address, bool engine);
 /** Delivers two more registrations in a bundle, complete or truncated. */
-void bed_hear_bundle(struct bed *bed, bool whole);
+void bed_deliver_bundle(struct bed *bed, bool whole);
 /** Advances the clock, with ticks. */
-void bed_pass(struct bed *bed, int64_t us);
+void bed_advance(struct bed *bed, int64_t us);
 /** Starts a fresh entry VM with version 1, key "k1" and ENGINE. */
 void bed_start(struct bed *bed);
 void bed_end(struct bed *bed);
--- a/tests/entry/t-entry-feed.c
+++ b/tests/entry/t-entry-feed.c
@@ -10,9 +10,9 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_state(&bed, bed.polled_us, 0, 2);
-	bed_hear_document(&bed, 2, "k1");
-	bed_hear_document(&bed, 2, "k1");
+	bed_deliver_state(&bed, bed.polled_us, 0, 2);
+	bed_deliver_document(&bed, 2, "k1");
+	bed_deliver_document(&bed, 2, "k1");
 	documents = entry_view(bed.entry, bed.now_us).documents;
 	g_assert_cmpint(documents.requested, ==, 2);
 	g_assert_cmpint(documents.received, ==, 3);
@@ -27,8 +27,8 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_state(&bed, bed.polled_us, 0, 2);
-	bed_hear_packed(&bed, 2, "k2");
+	bed_deliver_state(&bed, bed.polled_us, 0, 2);
+	bed_deliver_compressed(&bed, 2, "k2");
 	g_assert_cmpint(entry_view(bed.entry, bed.now_us).version, ==, 2);
 	bed_check_refused(&bed, bed_ask(&bed, "/lodge/7", "k1"),
 			  RESULT_KEY_UNKNOWN);
@@ -41,14 +41,14 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_state(&bed, bed.polled_us, 0, 2);
-	g_assert_true(bed.packed);
-	bed_hear_damaged(&bed, 2);
+	bed_deliver_state(&bed, bed.polled_us, 0, 2);
+	g_assert_true(bed.fetch_compressed);
+	bed_deliver_damaged(&bed, 2);
 	g_assert_cmpint(entry_view(bed.entry, bed.now_us).version, ==, 1);
-	bed_pass(&bed, 500000);
-	bed_hear_state(&bed, bed.polled_us, 0, 2);
-	g_assert_false(bed.packed);
-	bed_hear_document(&bed, 2, "k1");
+	bed_advance(&bed, 500000);
+	bed_deliver_state(&bed, bed.polled_us, 0, 2);
+	g_assert_false(bed.fetch_compressed);
+	bed_deliver_document(&bed, 2, "k1");
 	g_assert_cmpint(entry_view(bed.entry, bed.now_us).version, ==, 2);
 	bed_end(&bed);
 }
@@ -64,20 +64,20 @@
 	int i;
 
 	bed_start(&bed);
-	bed_hear_other(&bed, STEADY, 1, false, false);
+	bed_deliver_server(&bed, STEADY, 1, false, false);
 	for (i = 0; i < 24; i++) {
-		bed_pass(&bed, SECOND / 2);
-		bed_hear_state(&bed, bed.polled_us, 0, 1);
-		bed_hear_marks(&bed, STEADY, i < 12);
+		bed_advance(&bed, SECOND / 2);
+		bed_deliver_state(&bed, bed.polled_us, 0, 1);
+		bed_deliver_marks(&bed, STEADY, i < 12);
 		if (i == 11)
 			g_assert_cmpint(
 				entry_view(bed.entry, bed.now_us).servers, ==,
 				2);
 	}
-	bed_pass(&bed, 4 * SECOND);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
-	bed_hear_marks(&bed, STEADY, false);
-	bed_pass(&bed, SECOND / 4);
+	bed_advance(&bed, 4 * SECOND);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
+	bed_deliver_marks(&bed, STEADY, false);
+	bed_advance(&bed, SECOND / 4);
 	g_assert_cmpint(entry_view(bed.entry, bed.now_us).servers, ==, 1);
 	for (i = 0; i < 8; i++) {
 		bed.at_steady = 0;
@@ -85,7 +85,7 @@
 		g_assert_cmpint(bed.at_steady, ==, 1);
 		bed_end_attempt(&bed, id, RESULT_OK, 200, true);
 	}
-	bed_hear_marks(&bed, STEADY, true);
+	bed_deliver_marks(&bed, STEADY, true);
 	g_assert_cmpint(entry_view(bed.entry, bed.now_us).servers, ==, 2);
 	bed_end(&bed);
 }
@@ -95,9 +95,9 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_bundle(&bed, false);
+	bed_deliver_bundle(&bed, false);
 	g_assert_cmpint(entry_view(bed.entry, bed.now_us).servers, ==, 2);
-	bed_hear_bundle(&bed, true);
+	bed_deliver_bundle(&bed, true);
 	g_assert_cmpint(entry_view(bed.entry, bed.now_us).servers, ==, 3);
 	bed_end(&bed);
 }
--- a/tests/entry/t-entry-usage.c
+++ b/tests/entry/t-entry-usage.c
@@ -7,7 +7,7 @@
 {
 	uint64_t id = bed_ask(bed, "/lodge/7", "k1");
 
-	bed_pass(bed, SECOND / 25);
+	bed_advance(bed, SECOND / 25);
 	bed_end_attempt(bed, id, RESULT_BACKEND_BROKE, 0, true);
 }
 
@@ -19,21 +19,21 @@
 
 	bed_start(&bed);
 	lose_answer(&bed);
-	bed_pass(&bed, SECOND);
-	g_assert_cmpint(bed.begun, ==, 0);
-	bed_hear_engine(&bed, 9, false);
-	bed_pass(&bed, SECOND / 2);
-	g_assert_cmpint(bed.begun, ==, 1);
+	bed_advance(&bed, SECOND);
+	g_assert_cmpint(bed.reported_requests, ==, 0);
+	bed_deliver_engine(&bed, 9, false);
+	bed_advance(&bed, SECOND / 2);
+	g_assert_cmpint(bed.reported_requests, ==, 1);
 	/* Closed at once, or nothing was sent: the request can't have run. */
 	id = bed_ask(&bed, "/lodge/7", "k1");
 	bed_end_attempt(&bed, id, RESULT_BACKEND_BROKE, 0, true);
 	id = bed_ask(&bed, "/lodge/7", "k1");
-	bed_pass(&bed, SECOND / 25);
+	bed_advance(&bed, SECOND / 25);
 	bed_end_attempt(&bed, id, RESULT_BACKEND_CONNECT, 0, false);
-	bed_pass(&bed, SECOND / 2);
-	bed_hear_engine(&bed, 10, false);
-	bed_pass(&bed, SECOND / 2);
-	g_assert_cmpint(bed.begun, ==, 1);
+	bed_advance(&bed, SECOND / 2);
+	bed_deliver_engine(&bed, 10, false);
+	bed_advance(&bed, SECOND / 2);
+	g_assert_cmpint(bed.reported_requests, ==, 1);
 	bed_end(&bed);
 }
 
@@ -44,10 +44,10 @@
 
 	bed_start(&bed);
 	lose_answer(&bed);
-	bed_pass(&bed, 6 * SECOND);
-	bed_hear_engine(&bed, 9, false);
-	bed_pass(&bed, SECOND);
-	g_assert_cmpint(bed.begun, ==, 0);
+	bed_advance(&bed, 6 * SECOND);
+	bed_deliver_engine(&bed, 9, false);
+	bed_advance(&bed, SECOND);
+	g_assert_cmpint(bed.reported_requests, ==, 0);
 	bed_end(&bed);
 }
 
--- a/tests/entry/t-entry.c
+++ b/tests/entry/t-entry.c
@@ -14,8 +14,8 @@
 	bed_end_attempt(&bed, id, RESULT_OK, 200, true);
 	g_assert_cmpuint(bed.answered, ==, id);
 	g_assert_cmpint(bed.code, ==, RESULT_OK);
-	bed_pass(&bed, SECOND);
-	g_assert_cmpint(bed.told, ==, 1);
+	bed_advance(&bed, SECOND);
+	g_assert_cmpint(bed.usage_reports, ==, 1);
 	bed_end(&bed);
 }
 
@@ -39,7 +39,7 @@
 	uint64_t id = bed_ask(bed, "/lodge/7", "k1");
 
 	g_assert_cmpuint(bed->started, !=, id);
-	bed_pass(bed, 3 * SECOND / 2);
+	bed_advance(bed, 3 * SECOND / 2);
 	bed_check_refused(bed, id, RESULT_STALE);
 	g_assert_cmpint(bed->retry_ms, >, 0);
 	g_assert_cmpuint(bed->started, !=, id);
@@ -55,16 +55,16 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_pass(&bed, 4 * SECOND);
+	bed_advance(&bed, 4 * SECOND);
 	g_assert_cmpuint(bed_ask(&bed, "/lodge/7", "k1"), ==, bed.started);
-	bed_pass(&bed, SECOND);
+	bed_advance(&bed, SECOND);
 	g_assert_false(entry_ready(bed.entry, bed.now_us));
 	check_stale(&bed);
-	bed_hear_state(&bed, bed.polled_us, 0, 2);
+	bed_deliver_state(&bed, bed.polled_us, 0, 2);
 	g_assert_true(bed.fetched);
 	check_stale(&bed);
-	bed_hear_document(&bed, 2, "k2");
-	bed_hear_state(&bed, bed.polled_us, 0, 2);
+	bed_deliver_document(&bed, 2, "k2");
+	bed_deliver_state(&bed, bed.polled_us, 0, 2);
 	bed_check_refused(&bed, bed_ask(&bed, "/lodge/7", "k1"),
 			  RESULT_KEY_UNKNOWN);
 	g_assert_cmpuint(bed_ask(&bed, "/lodge/7", "k2"), ==, bed.started);
@@ -82,9 +82,9 @@
 
 	bed_start(&bed);
 	asked_us = bed.polled_us;
-	bed_pass(&bed, 4 * SECOND);
-	bed_hear_state(&bed, asked_us, 0, 1);
-	bed_pass(&bed, SECOND);
+	bed_advance(&bed, 4 * SECOND);
+	bed_deliver_state(&bed, asked_us, 0, 1);
+	bed_advance(&bed, SECOND);
 	check_stale(&bed);
 	bed_end(&bed);
 }
@@ -95,10 +95,10 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_pass(&bed, 5 * SECOND);
-	bed_hear_state(&bed, bed.polled_us, 5 * SECOND, 1);
+	bed_advance(&bed, 5 * SECOND);
+	bed_deliver_state(&bed, bed.polled_us, 5 * SECOND, 1);
 	check_stale(&bed);
-	bed_hear_state(&bed, bed.polled_us, -1, 1);
+	bed_deliver_state(&bed, bed.polled_us, -1, 1);
 	check_stale(&bed);
 	bed_end(&bed);
 }
@@ -113,11 +113,11 @@
 	uint64_t id;
 
 	bed_start(&bed);
-	bed_pass(&bed, 5 * SECOND);
+	bed_advance(&bed, 5 * SECOND);
 	id = bed_ask(&bed, "/lodge/7", "k1");
-	bed_pass(&bed, SECOND);
+	bed_advance(&bed, SECOND);
 	g_assert_cmpuint(bed.answered, ==, 0);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpuint(bed.started, ==, id);
 	bed_end(&bed);
 }
@@ -129,10 +129,10 @@
 	uint64_t id;
 
 	bed_start(&bed);
-	bed_pass(&bed, 5 * SECOND);
+	bed_advance(&bed, 5 * SECOND);
 	id = bed_ask(&bed, "/lodge/7", "k1");
 	entry_caller_left(bed.entry, id, bed.now_us, &bed.effects);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpuint(bed.started, ==, 0);
 	bed_end(&bed);
 }
@@ -143,9 +143,9 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_document(&bed, 3, "k3");
-	bed_hear_document(&bed, 2, "k2");
-	bed_hear_state(&bed, bed.polled_us, 0, 3);
+	bed_deliver_document(&bed, 3, "k3");
+	bed_deliver_document(&bed, 2, "k2");
+	bed_deliver_state(&bed, bed.polled_us, 0, 3);
 	bed_check_refused(&bed, bed_ask(&bed, "/lodge/7", "k2"),
 			  RESULT_KEY_UNKNOWN);
 	g_assert_cmpuint(bed_ask(&bed, "/lodge/7", "k3"), ==, bed.started);
@@ -158,8 +158,8 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_engine(&bed, 3, true);
-	bed_hear_engine(&bed, 2, false);
+	bed_deliver_engine(&bed, 3, true);
+	bed_deliver_engine(&bed, 2, false);
 	bed_ask(&bed, "/lodge/7", "k1");
 	g_assert_cmpuint(bed.started, ==, 0);
 	bed_end(&bed);
@@ -177,18 +177,18 @@
 	bed_start(&bed);
 	entry_stop(bed.entry, bed.now_us, 8 * SECOND, &bed.effects);
 	g_assert_false(entry_ready(bed.entry, bed.now_us));
-	bed_pass(&bed, SECOND);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed_advance(&bed, SECOND);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	id = bed_ask(&bed, "/lodge/7", "k1");
 	g_assert_cmpuint(bed.started, ==, id);
-	bed_pass(&bed, 11 * SECOND / 4);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed_advance(&bed, 11 * SECOND / 4);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	bed_check_refused(&bed, bed_ask(&bed, "/lodge/8", "k1"),
 			  RESULT_STOPPING);
-	bed_pass(&bed, SECOND / 2);
+	bed_advance(&bed, SECOND / 2);
 	g_assert_false(bed.exited);
 	bed_end_attempt(&bed, id, RESULT_OK, 200, true);
-	bed_pass(&bed, SECOND);
+	bed_advance(&bed, SECOND);
 	g_assert_true(bed.exited);
 	bed_end(&bed);
 }
@@ -206,11 +206,11 @@
 	bed_start(&bed);
 	entry_stop(bed.entry, bed.now_us, 8 * SECOND, &bed.effects);
 	bed_ask(&bed, "/shed/1", "k1");
-	bed_pass(&bed, 3 * SECOND);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed_advance(&bed, 3 * SECOND);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpuint(bed_ask(&bed, "/lodge/7", "k1"), ==, bed.started);
-	bed_pass(&bed, SECOND);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed_advance(&bed, SECOND);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	bed_check_refused(&bed, bed_ask(&bed, "/lodge/7", "k1"),
 			  RESULT_STOPPING);
 	bed_end(&bed);
@@ -232,7 +232,7 @@
 	bed_end_attempt(&bed, id, RESULT_OK, 200, true);
 	id = bed_ask(&bed, "/lodge/8", "k1");
 	g_assert_cmpuint(bed.started, !=, id);
-	bed_pass(&bed, SECOND);
+	bed_advance(&bed, SECOND);
 	g_assert_cmpuint(bed.started, ==, id);
 	bed_end(&bed);
 }
@@ -271,9 +271,9 @@
 	int i;
 
 	bed_start(&bed);
-	bed_hear_engine(&bed, 2, true);
-	bed_hear_other(&bed, CHEAP, 1, true, false);
-	bed_hear_other(&bed, STEADY, 1, false, false);
+	bed_deliver_engine(&bed, 2, true);
+	bed_deliver_server(&bed, CHEAP, 1, true, false);
+	bed_deliver_server(&bed, STEADY, 1, false, false);
 	for (i = 0; i < 6; i++)
 		bed_ask(&bed, "/lodge/7", "k1");
 	g_assert_cmpint(bed.at_steady, ==, 3);
@@ -317,13 +317,13 @@
 	uint64_t id;
 
 	bed_start(&bed);
-	bed_hear_other(&bed, CHEAP, 1, true, false);
-	bed_hear_other(&bed, CHEAP, 2, true, true);
+	bed_deliver_server(&bed, CHEAP, 1, true, false);
+	bed_deliver_server(&bed, CHEAP, 2, true, true);
 	id = bed_ask(&bed, "/porch/7", "k1");
 	g_assert_cmpuint(bed.started, ==, id);
 	bed.started = 0;
 	bed_end_attempt(&bed, id, RESULT_BACKEND_CROSSED, 200, true);
-	bed_pass(&bed, 3 * SECOND / 2);
+	bed_advance(&bed, 3 * SECOND / 2);
 	g_assert_cmpuint(bed.started, ==, id);
 	bed_end(&bed);
 }
@@ -342,7 +342,7 @@
 		n += bed->started == id;
 		if (bed->started == id)
 			bed_end_nth(bed, id, 2, RESULT_OK, 200, true);
-		bed_pass(bed, SECOND / 10);
+		bed_advance(bed, SECOND / 10);
 	}
 	return n;
 }
@@ -357,14 +357,14 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_other(&bed, STEADY, 1, false, false);
+	bed_deliver_server(&bed, STEADY, 1, false, false);
 	g_assert_cmpint(repeated(&bed, 20), ==, 20);
-	bed.entries = 66;
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed.entry_vms = 66;
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpint(repeated(&bed, 20), <=, 4);
 	/* A control VM without links to the other entry VMs changes nothing. */
-	bed.entries = 0;
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed.entry_vms = 0;
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpint(repeated(&bed, 20), <=, 4);
 	bed_end(&bed);
 }
@@ -382,7 +382,7 @@
 	id = bed_ask(&bed, "/lodge/7", "k1");
 	bed.started = 0;
 	bed_end_attempt(&bed, id, RESULT_BACKEND_ERROR, 503, false);
-	bed_pass(&bed, SECOND / 2);
+	bed_advance(&bed, SECOND / 2);
 	g_assert_cmpuint(bed.started, ==, id);
 	bed_end(&bed);
 }
@@ -444,8 +444,8 @@
 
 	bed_start(&bed);
 	bed.now_us += 50 * 3600 * SECOND;
-	bed_pass(&bed, SECOND);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
+	bed_advance(&bed, SECOND);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
 	g_assert_cmpuint(bed_ask(&bed, "/lodge/7", "k1"), ==, bed.started);
 	bed_end(&bed);
 }
@@ -459,12 +459,12 @@
 	struct bed bed;
 
 	bed_start(&bed);
-	bed_hear_engine(&bed, 2, true);
-	bed_pass(&bed, SECOND);
+	bed_deliver_engine(&bed, 2, true);
+	bed_advance(&bed, SECOND);
 	bed.now_us += 3600 * SECOND;
-	bed_pass(&bed, 2 * SECOND);
-	bed_hear_state(&bed, bed.polled_us, 0, 1);
-	bed_hear_engine(&bed, 3, false);
+	bed_advance(&bed, 2 * SECOND);
+	bed_deliver_state(&bed, bed.polled_us, 0, 1);
+	bed_deliver_engine(&bed, 3, false);
 	g_assert_cmpuint(bed_ask(&bed, "/lodge/7", "k1"), ==, bed.started);
 	bed_end(&bed);
 }
