--- a/libfilberthall/core/pack.c
+++ b/libfilberthall/core/pack.c
@@ -77,14 +77,14 @@
 	return true;
 }
 
-char *unpack_text(const struct unpacked *unpacked, size_t i, size_t most)
+char *unpack_text(const struct unpacked *unpacked, size_t i, size_t max)
 {
 	const msgpack_object *item;
 
 	if (i >= unpacked->n)
 		return NULL;
 	item = &unpacked->items[i];
-	if (item->type != MSGPACK_OBJECT_STR || item->via.str.size > most ||
+	if (item->type != MSGPACK_OBJECT_STR || item->via.str.size > max ||
 	    memchr(item->via.str.ptr, 0, item->via.str.size))
 		return NULL;
 	return xmemdup(item->via.str.ptr, item->via.str.size);
--- a/libfilberthall/core/pack.h
+++ b/libfilberthall/core/pack.h
@@ -33,7 +33,7 @@
 bool unpack_uint(const struct unpacked *unpacked, size_t i, uint64_t *value);
 
 /** Item `i` as text, a new string; NULL if it isn't text or too long. */
-char *unpack_text(const struct unpacked *unpacked, size_t i, size_t most);
+char *unpack_text(const struct unpacked *unpacked, size_t i, size_t max);
 
 /** Item `i` as bytes inside the message; false if it isn't bytes. */
 bool unpack_bytes(const struct unpacked *unpacked, size_t i, const char **data,
--- a/libfilberthall/core/pending_call.c
+++ b/libfilberthall/core/pending_call.c
@@ -18,7 +18,7 @@
 	double stale_ms = rules_number(agreed_settings(core->agreed),
 				       "site/keys", "stale_ms");
 	struct member_health health;
-	size_t silent = 0;
+	size_t stale = 0;
 	size_t i;
 
 	for (i = 0; i < members->count; i++)
@@ -26,8 +26,8 @@
 		    raft_health(core->raft, members->items[i].id, &health) &&
 		    (double)(core->now_us - health.last_contact_us) >
 			    stale_ms * 1000)
-			silent++;
-	return silent;
+			stale++;
+	return stale;
 }
 
 static void pending_call_answer(struct core *core, struct pending_call *waiting,
--- a/tests/core/site.c
+++ b/tests/core/site.c
@@ -7,7 +7,7 @@
 #include "base/alloc.h"
 
 #define SITE_STEP_US 10000
-#define SITE_PATIENCE_MS 20000
+#define SITE_TIMEOUT_MS 20000
 #define SITE_WALL_US INT64_C(1800000000000000)
 
 static uint64_t site_id(int daemon)
@@ -315,7 +315,7 @@
 struct effect *site_await(struct site *site, int daemon, enum effect_kind kind,
 			  uint64_t id)
 {
-	int64_t until_us = site->now_us + SITE_PATIENCE_MS * 1000;
+	int64_t until_us = site->now_us + SITE_TIMEOUT_MS * 1000;
 	struct effect *found;
 
 	while (!(found = site_find(site, daemon, kind, id)) &&
--- a/tests/core/t-site.c
+++ b/tests/core/t-site.c
@@ -182,25 +182,25 @@
 	struct effect *publish = NULL;
 	struct effect *effect;
 	uint64_t id;
-	int lonely;
+	int isolated;
 
 	test_start(&site, 3);
-	lonely = (site_leader(&site) + 1) % 3;
-	site_cut(&site, lonely, true);
+	isolated = (site_leader(&site) + 1) % 3;
+	site_cut(&site, isolated, true);
 	site_run(&site, 3000);
-	id = site_chat(&site, lonely, NULL);
-	answer = site_await(&site, lonely, EFFECT_ANSWER, id);
+	id = site_chat(&site, isolated, NULL);
+	answer = site_await(&site, isolated, EFFECT_ANSWER, id);
 	g_assert_cmpint(answer->u.answer.code, ==, RESULT_STALE);
 	g_assert_cmpint(answer->u.answer.run, ==, RUN_NOT);
-	list_foreach(effect, &site.daemons[lonely].kept.head, node)
+	list_foreach(effect, &site.daemons[isolated].kept.head, node)
 		if (effect->kind == EFFECT_PUBLISH)
 			publish = effect;
 	g_assert_nonnull(publish);
 	g_assert_false(publish->u.publish.healthy);
-	site_cut(&site, lonely, false);
+	site_cut(&site, isolated, false);
 	site_run(&site, 3000);
-	id = site_chat(&site, lonely, NULL);
-	site_await(&site, lonely, EFFECT_START_ATTEMPT, id);
+	id = site_chat(&site, isolated, NULL);
+	site_await(&site, isolated, EFFECT_START_ATTEMPT, id);
 	site_free(&site);
 }
 
