--- a/libfilberthall/usage/begun.c
+++ b/libfilberthall/usage/begun.c
@@ -6,16 +6,16 @@
 
 #include "base/alloc.h"
 
-/* One organisation's requests as one source counted them. */
+/* The number of one organisation's requests counted by one source. */
 struct begun_count {
 	struct list node;
 	struct feed_count count;
 };
 
-/* What one daemon has counted in a window. */
+/* The counts of one daemon in a window. */
 struct begun_source {
-	struct map_node node; /* by id */
-	uint64_t id;	      /* 0: counted here */
+	struct map_node node; /* key: id */
+	uint64_t id;	      /* 0: this daemon */
 	struct list counts;
 };
 
@@ -161,7 +161,7 @@
 		      ((const struct feed_count *)b)->organisation);
 }
 
-/* Add up equal neighbours. */
+/* Adds up adjacent entries of the same organisation. */
 static void merge_counts(struct feed_begun *total, size_t n)
 {
 	size_t last = 0;
@@ -178,7 +178,7 @@
 	total->n_counts = n ? last + 1 : 0;
 }
 
-/* Of equal neighbours. */
+/* Keeps the largest of adjacent entries of the same organisation. */
 static void keep_largest(struct feed_begun *total)
 {
 	size_t last = 0;
@@ -252,7 +252,7 @@
 	source = source_of(window, id);
 	for (i = 0; i < told->n_counts; i++) {
 		count = count_of(source, told->counts[i].organisation);
-		/* Totals only grow; a smaller one was overtaken on the way. */
+		/* Totals only grow; a smaller one is an older message. */
 		if (told->counts[i].requests > count->count.requests)
 			count->count.requests = told->counts[i].requests;
 	}
--- a/libfilberthall/usage/exchange.c
+++ b/libfilberthall/usage/exchange.c
@@ -5,12 +5,13 @@
 #include "usage/merge_state.h"
 
 /*
- * A daemon that is silent for so long is spoken for by whoever has its rows:
- * the one in charge may be new, and the rows' owner gone.
+ * After this time without messages from a daemon, the daemons that have its
+ * rows relay them: the lease holder may be new, and the owner of the rows may
+ * have failed.
  */
 #define USAGE_RELAY_US INT64_C(5000000)
 
-/* Upper bounds of encoded sizes: head, and numbers of a row. */
+/* Upper bounds of encoded sizes: the header, and the numbers of a row. */
 #define USAGE_HEAD_BYTES 96
 #define USAGE_ROW_BYTES 80
 
@@ -61,7 +62,7 @@
 	}
 }
 
-/* The first row that changed after `change`; changes are in order. */
+/* The first row changed after `change`; usage.changed is in that order. */
 static struct list *usage_changed_after(struct usage *usage, uint64_t change)
 {
 	struct list *at = &usage->changed;
@@ -94,7 +95,7 @@
 			 (json_int_t)counters->wasted_tokens);
 }
 
-/* Rows from `*at` on, as many as fit; `*to` gets the last change covered. */
+/* As many rows from `*at` on as fit; sets `*to` to the last change covered. */
 static json_t *usage_pack_rows(struct usage *usage,
 			       const struct usage_peer *peer, struct list **at,
 			       size_t limit, uint64_t *to)
@@ -119,7 +120,7 @@
 	return rows;
 }
 
-/* Whether a message may go now: each second, and on until all is sent. */
+/* Whether a message may be sent now: every second, or until all is sent. */
 static bool usage_is_due(struct usage *usage, struct usage_peer *peer,
 			 int64_t now_us)
 {
@@ -164,7 +165,7 @@
 	return true;
 }
 
-/* Far beyond any site, and sums of thousands of them don't overflow. */
+/* More than any site counts; sums of thousands of them don't overflow. */
 #define USAGE_COUNT_MAX INT64_C(1000000000000000)
 
 struct usage_wire_row {
@@ -231,8 +232,8 @@
 }
 
 /*
- * Only what has come without a gap is acknowledged: a message lost with its
- * link is seen by the next one's "from", and sent again.
+ * Acknowledges only changes received without a gap. A message that was lost
+ * with its link shows in "from" of the next one and is sent again.
  */
 static void usage_note_message(struct usage_origin *origin, const json_t *body,
 			       int64_t now_us)
@@ -287,7 +288,7 @@
 	return RESULT_OK;
 }
 
-/* A peer that restarted has less than it once acknowledged: begin anew. */
+/* A peer that restarted lost what it had acknowledged: send all rows again. */
 static enum result usage_take_have(struct usage *usage, uint64_t member,
 				   const json_t *body, int64_t now_us)
 {
--- a/libfilberthall/usage/merge.c
+++ b/libfilberthall/usage/merge.c
@@ -230,9 +230,9 @@
 }
 
 /*
- * The wall clock may step, on one VM or all: set by hand, or by a time
- * service after a resume. A step is watched for a while; one that is taken
- * back has then moved nothing.
+ * The wall clock may step on one VM or on all: set manually, or by a time
+ * service after a resume. A step is accepted only after a delay; one that is
+ * reversed before then has no effect.
  */
 static void usage_follow_clock(struct usage *usage, int64_t wall_us,
 			       int64_t now_us)
@@ -253,7 +253,7 @@
 	}
 }
 
-/* An earlier life of a member is needed only while rows of it are. */
+/* An earlier incarnation is needed only as long as it has rows. */
 static void usage_forget_origins(struct usage *usage)
 {
 	struct usage_origin *origin;
@@ -348,7 +348,7 @@
 		     : strcmp((*left)->class_name, (*right)->class_name);
 }
 
-/* A window's rows by organisation and class, to be freed. */
+/* A window's rows by organisation and class; the caller frees the array. */
 static const struct usage_row **usage_sorted(const struct usage *usage,
 					     int64_t number, size_t *n)
 {
--- a/libfilberthall/usage/merge_state.h
+++ b/libfilberthall/usage/merge_state.h
@@ -6,20 +6,19 @@
 #include "usage/merge.h"
 
 /**
- * Inside of the usage counters, shared by merge.c and exchange.c; no one
- * else includes it.
+ * Internal state of the usage counters, shared by merge.c and exchange.c only.
  */
 
-/** A daemon's life, as far as this one heard of it. */
+/** One incarnation of a daemon, as known to this daemon. */
 struct usage_origin {
 	struct map_node node; /**< in usage.origins */
 	uint64_t member;
 	uint64_t incarnation;
-	int64_t heard_us;  /**< last message; -1 never */
-	uint64_t received; /**< its changes up to here have all come */
-	int64_t window;	   /**< it counts into this one now; -1 unknown */
-	int64_t passed;	   /**< all its windows up to here are here */
-	bool relayed;	   /**< silent: this daemon speaks for it */
+	int64_t heard_us;  /**< time of the last message, -1 for none */
+	uint64_t received; /**< all its changes up to this number arrived */
+	int64_t window;	   /**< window it counts into, -1 if unknown */
+	int64_t passed;	   /**< all its windows up to this one arrived */
+	bool relayed;	   /**< unresponsive; this daemon sends its rows */
 	struct list rows;  /**< struct usage_row */
 };
 
@@ -34,24 +33,24 @@
 	struct list by_origin; /**< in usage_origin.rows */
 	struct list by_window; /**< in usage_window.rows */
 	struct list by_change; /**< in usage.changed, oldest first */
-	uint64_t change;       /**< number of its last change here */
+	uint64_t change;       /**< number of its last change in this daemon */
 	struct usage_origin *origin;
 	int64_t window;
 	struct usage_counters counters;
-	const char *organisation; /**< both in `text` */
+	const char *organisation; /**< stored in `text`, as class_name is */
 	const char *class_name;
 	char text[];
 };
 
-/** One who gets messages of this daemon. */
+/** A daemon that receives this daemon's messages. */
 struct usage_peer {
 	uint64_t member; /**< 0: none */
-	bool all;	 /**< also what this daemon relays */
+	bool all;	 /**< send also the relayed rows */
 	uint64_t acknowledged;
 	uint64_t sent;
-	int64_t burst_us;    /**< when the last messages went; -1 never */
-	int64_t progress_us; /**< when an acknowledgement last moved */
-	bool complete;	     /**< the last message held all there was */
+	int64_t burst_us;    /**< when messages were last sent, -1 for never */
+	int64_t progress_us; /**< when `acknowledged` last advanced */
+	bool complete;	     /**< the last message had all remaining rows */
 };
 
 struct usage {
@@ -62,13 +61,13 @@
 	struct list changed;
 	uint64_t change;
 	int64_t window;
-	int64_t anchor_us; /**< wall clock less monotonic, as believed */
+	int64_t anchor_us; /**< accepted offset: wall clock less monotonic */
 	bool anchored;
-	int64_t step_since_us;	    /**< -1: no step is being watched */
-	struct usage_peer peers[2]; /**< one in charge, copy holder */
+	int64_t step_since_us;	    /**< start of a clock step, -1 for none */
+	struct usage_peer peers[2]; /**< lease holder, copy holder */
 };
 
-/** The origin, new if it isn't known yet. */
+/** Returns the origin; creates it if it doesn't exist. */
 struct usage_origin *usage_origin(struct usage *usage, uint64_t member,
 				  uint64_t incarnation);
 
@@ -76,15 +75,15 @@
 const struct usage_origin *usage_latest(const struct usage *usage,
 					uint64_t member);
 
-/** The row of that key, new if it isn't there yet. */
+/** Returns the row with this key; creates it if it doesn't exist. */
 struct usage_row *usage_row(struct usage *usage, struct usage_origin *origin,
 			    int64_t window, const char *organisation,
 			    const char *class_name);
 
-/** Note that a row changed: it goes to the end of usage.changed. */
+/** Records a change of a row: moves it to the end of usage.changed. */
 void usage_touch(struct usage *usage, struct usage_row *row);
 
-/** Speak for origins that have fallen silent. */
+/** Starts to relay the rows of origins that have become unresponsive. */
 void usage_relay_silent(struct usage *usage, int64_t now_us);
 
 #endif
--- a/libfilberthall/usage/presumed.c
+++ b/libfilberthall/usage/presumed.c
@@ -5,13 +5,13 @@
 
 #include "base/alloc.h"
 
-/* A break that comes sooner is of the connection, not of the request. */
+/* An earlier break is a connection failure, not one of the request. */
 #define SENT_LEAST_US INT64_C(5000)
 
-/* What was heard sooner after a break may have been said before it. */
+/* An announcement sooner after a break may have been sent before it. */
 #define HEARD_LEAST_US INT64_C(200000)
 
-/* A server that wasn't heard for so long after it is taken for gone. */
+/* A server without announcements for this time after it has failed. */
 #define HEARD_MOST_US INT64_C(5000000)
 
 struct presumed_item {
--- a/libfilberthall/usage/presumed.h
+++ b/libfilberthall/usage/presumed.h
@@ -10,22 +10,24 @@
 #include "usage/begun.h"
 
 /**
- * Requests whose servers broke off without an answer.
+ * Requests whose connection to the server broke before an answer arrived.
  *
- * Failure answered: a server runs a request and its answer is lost; the usage
- * window lacks it. But a server that crashes breaks off as well, with requests
- * that it had not begun. Which of them it was shows a moment later: the one goes
- * on announcing itself. So such a request counts, in the window of the break,
- * once that start of the server was heard again, and else not at all.
+ * Failure handled: a server runs a request and its answer is lost, so the
+ * request is missing from the usage window. A server that crashes breaks its
+ * connections too, with requests that it had not begun. Only a server that
+ * still runs continues to announce itself. So the request is counted, in the
+ * window of the break, once the same start of the server has announced itself
+ * again, and otherwise not at all.
  */
 struct presumed {
 	struct list items;
 };
 
-/** What is known when an attempt breaks off. */
+/** An attempt whose connection broke. */
 struct presumed_break {
 	uint64_t request;
-	const struct registration *server; /**< the start that had it */
+	const struct registration
+		*server; /**< the start of the server that had it */
 	const char *organisation;
 	int64_t window;
 };
@@ -34,24 +36,24 @@
 void presumed_clear(struct presumed *presumed);
 
 /**
- * Whether an attempt that ended like that may have been begun. A break that
- * comes at once is of the connection, not of the request.
+ * Whether the server may have begun an attempt that ended this way. A break
+ * immediately after the start is a connection failure, not one of the request.
  *
  * @param code	how the attempt ended
- * @param sent	a byte may have left this VM
- * @param us	since the attempt was started
+ * @param sent	a byte may have been sent by this VM
+ * @param us	microseconds since the start of the attempt
  */
 bool presumed_possible(enum result code, bool sent, int64_t us);
 
 void presumed_add(struct presumed *presumed, const struct presumed_break *what,
 		  int64_t now_us);
 
-/** The request has begun elsewhere and is counted: forget it here. */
+/** Removes a request that began on another server and is counted there. */
 void presumed_drop(struct presumed *presumed, uint64_t request);
 
 /**
- * Count those whose servers were heard again, forget those whose servers
- * weren't for long. Calls `counted` with each request that counts.
+ * Counts the requests whose servers announced themselves again, and removes
+ * those whose servers didn't in time. Calls `counted` for each one counted.
  */
 void presumed_tick(struct presumed *presumed, const struct registry *registry,
 		   int64_t now_us,
--- a/libfilberthall/usage/report.c
+++ b/libfilberthall/usage/report.c
@@ -8,18 +8,18 @@
 #include "base/cleanup.h"
 
 /*
- * A holder that is validly in charge is refused for its figures, never for
- * its fence; but an answer may have crossed a change of holder, so it takes
- * this many refusals in a row before the report is given up.
+ * The platform refuses a valid lease holder only for its figures, never for
+ * its fencing number. An answer may arrive after the lease holder changed, so
+ * the report is abandoned only after this many consecutive refusals.
  */
 #define REPORT_REFUSALS 3
 
 struct report {
-	int64_t closing;    /**< window whose grace runs, -1 for none */
+	int64_t closing;    /**< window in its grace period, -1 for none */
 	int64_t closing_us; /**< when most daemons had passed it */
 	int64_t window;	    /**< being reported, -1 for none */
-	int64_t next_us;    /**< not sent again before */
-	int64_t retry_us;   /**< wait after the next loss */
+	int64_t next_us;    /**< earliest time to resend */
+	int64_t retry_us;   /**< delay after the next loss */
 	int refusals;
 };
 
@@ -68,9 +68,9 @@
 }
 
 /*
- * The first window that isn't committed. On a new site that is the oldest
- * one with counts. A site that was down for longer than late counts are kept
- * skips what no daemon can have counts of.
+ * The first window that isn't committed. On a new site that is the oldest one
+ * with counts. A site that was down for longer than late counts are kept skips
+ * the windows that no daemon can have counts for.
  */
 static int64_t report_candidate(const struct report_situation *situation,
 				int64_t present)
@@ -115,11 +115,11 @@
 	return -1;
 }
 
-/* Rows of a window's figures as they are collected. */
+/* Collects the rows of a window's figures. */
 struct report_rows {
 	const struct windows *windows;
 	json_t *rows;
-	int64_t window; /**< of which the sums are */
+	int64_t window; /**< window of the sums */
 	bool correction;
 };
 
@@ -194,8 +194,9 @@
 }
 
 /*
- * A call that outlives the lease could reach the platform while the next
- * holder reports too; so none is made that its time-out doesn't end before.
+ * A call that lasts longer than the lease could reach the platform while the
+ * next lease holder reports too. So a call is made only if its time-out ends
+ * before the lease does.
  */
 void report_tick(struct report *report, const struct windows *windows,
 		 int64_t fence, int64_t until_us, int64_t now_us,
--- a/libfilberthall/usage/roster.c
+++ b/libfilberthall/usage/roster.c
@@ -10,7 +10,7 @@
 	char *name;
 	uint64_t id;
 	bool linked;
-	int64_t since_us; /* of the link, or of its loss */
+	int64_t since_us; /* when the link came up or went down */
 };
 
 void roster_init(struct roster *roster)
--- a/libfilberthall/usage/wall.c
+++ b/libfilberthall/usage/wall.c
@@ -37,7 +37,7 @@
 	return left < right ? -1 : left > right;
 }
 
-/* The median of the votes that aren't old, 0 if there are fewer than `least`. */
+/* The median of the recent votes, 0 if there are fewer than `least`. */
 static int64_t median_us(const struct wall *wall, bool with_own, int least,
 			 int64_t now_us)
 {
--- a/libfilberthall/usage/window.c
+++ b/libfilberthall/usage/window.c
@@ -8,10 +8,10 @@
 #include "base/list.h"
 #include "base/map.h"
 
-/* Far beyond any site, and sums of thousands of them don't overflow. */
+/* More than any site counts; sums of thousands of them don't overflow. */
 #define WINDOW_COUNT_MAX INT64_C(1000000000000000)
 
-/* What was billed to an organisation for one window. */
+/* The total billed to an organisation for one window. */
 struct billed {
 	struct map_node node;
 	int64_t requests;
@@ -24,7 +24,7 @@
 	struct list node; /**< in windows.list, ascending */
 	int64_t number;
 	enum window_state state;
-	json_t *rows;	   /**< until settled, else NULL */
+	json_t *rows;	   /**< NULL once settled */
 	struct map billed; /**< struct billed by organisation */
 };
 
@@ -167,7 +167,7 @@
 	return window;
 }
 
-/* A window that isn't settled stays, however long the platform is away. */
+/* An unsettled window is kept however long the platform is unreachable. */
 static void windows_bound(struct windows *windows)
 {
 	struct window *window;
--- a/libfilberthall/usage/window.h
+++ b/libfilberthall/usage/window.h
@@ -11,13 +11,13 @@
  * The agreed record of usage windows: which figures were committed for
  * which window, and whether the platform has them. Part of the agreed state.
  *
- * Failures answered: a report's answer is lost, or its holder is replaced
- * between commit and report. The figures are committed before the first
- * report and then sent unchanged under the same report id until they are
- * acknowledged, by whoever is in charge, so no window is ever reported with
- * two sets of figures. What is counted late for a committed window goes into
- * a later one as a correction; the record holds how much of each window was
- * billed, corrections too, so that it goes once.
+ * Failures handled: the answer to a report is lost, or the lease holder is
+ * replaced between commit and report. The figures are committed before the
+ * first report. Each lease holder then sends them unchanged under the same
+ * report id until they are acknowledged, so no window is ever reported with
+ * two sets of figures. Counts that arrive after their window was committed go
+ * into a later window as a correction. The record contains how much of each
+ * window was billed, including corrections, so that nothing is billed twice.
  *
  * Windows are numbered by wall clock: floor(time / length).
  */
@@ -25,8 +25,8 @@
 
 /**
  * Committed windows whose billed totals are kept for late counts: a day of
- * one-hour windows. Regions lose each other for an hour now and then, so what
- * comes later than a day has been lost with its VM.
+ * one-hour windows. Regions are occasionally disconnected for an hour; counts
+ * that are missing for more than a day were lost with their VM.
  */
 #define WINDOWS_KEPT 24
 
@@ -41,16 +41,16 @@
 
 enum window_state {
 	WINDOW_OPEN,	  /**< not committed yet */
-	WINDOW_COMMITTED, /**< to be reported until settled */
+	WINDOW_COMMITTED, /**< reported until it is settled */
 	WINDOW_ACCEPTED,
-	WINDOW_REFUSED /**< the platform has other figures; said aloud */
+	WINDOW_REFUSED /**< the platform has other figures; logged */
 };
 
 struct windows *windows_new(void);
 void windows_free(struct windows *windows);
 
 /**
- * Commit a window's figures: an array of {"name", "requests",
+ * Commits a window's figures: an array of {"name", "requests",
  * "prompt_tokens", "output_tokens", "correction_of": N or null}. A window
  * without rows needs no report and is accepted at once.
  *
@@ -60,7 +60,7 @@
 enum result windows_commit(struct windows *windows, int64_t window,
 			   const json_t *rows);
 
-/** Settle a committed window. RESULT_NOT_FOUND if it isn't waiting. */
+/** Settles a window. RESULT_NOT_FOUND unless it is committed and unsettled. */
 enum result windows_settle(struct windows *windows, int64_t window,
 			   bool accepted);
 
@@ -76,19 +76,19 @@
 const json_t *windows_rows(const struct windows *windows, int64_t window);
 
 /**
- * What was billed for a window and organisation so far, with corrections.
- * Returns false if nothing was, or if the window is no longer kept.
+ * Gets what has been billed for a window and organisation, with corrections.
+ * Returns false if nothing was billed or the window is no longer kept.
  */
 bool windows_billed(const struct windows *windows, int64_t window,
 		    const char *organisation, struct window_row *billed);
 
-/** What was billed for a window, by organisation, as a new array. */
+/** Returns a new array of what was billed for a window per organisation. */
 json_t *windows_figures(const struct windows *windows, int64_t window);
 
 /** Whether late counts of a window can still be billed. */
 bool windows_keeps(const struct windows *windows, int64_t window);
 
-/** Call `visit` for each window kept, ascending. */
+/** Calls `visit` for each window kept, in ascending order. */
 void windows_visit(const struct windows *windows,
 		   void (*visit)(void *data, int64_t window,
 				 enum window_state state),
