--- a/libfilberthall/load/divide.c
+++ b/libfilberthall/load/divide.c
@@ -5,19 +5,19 @@
 
 #include "base/alloc.h"
 
-/* A pause that nobody has asked for in so long is forgotten. */
+/* The shortest pause expires when no request has asked for it this long. */
 #define PAUSE_RETENTION_US INT64_C(10000000)
 
-/* Pauses up to so many times the shortest are as short. */
+/* A pause up to this many times the shortest still counts as the shortest. */
 #define PAUSE_TOLERANCE 1.25
 
-/* A prompt that is read within this part of the pause holds up no stream. */
+/* A prefill within this fraction of the pause doesn't delay other streams. */
 #define PAUSE_READ_PART 0.5
 
-/* Where no pause is asked for, a prompt below this part of the mean is short. */
+/* If no request sets a pause: fraction of the mean that counts as short. */
 #define PROMPT_SHORT 0.35
 
-/* Work of paced streams counts less by e after so long. */
+/* Time constant of the exponential decay of used_us. */
 #define USED_FADE_US 4300000.0
 
 void divide_init(struct divide *divide)
@@ -115,7 +115,7 @@
 	return left < right ? -1 : left > right;
 }
 
-/* Servers of `n` that are kept for paced streams. */
+/* Number of servers, out of `n`, that are reserved for paced streams. */
 static int part_of(const struct divide *divide, int n)
 {
 	return (int)(divide->share * n + 0.5);
--- a/libfilberthall/load/divide.h
+++ b/libfilberthall/load/divide.h
@@ -7,99 +7,102 @@
 #include "fleet/backend.h"
 
 /**
- * Division of a pool's servers between paced streams and the rest.
+ * Division of a pool's servers between paced streams and other requests.
  *
- * Load pattern: a server reads prompts in chunks between the tokens that it
- * generates, so one that reads a prompt of 9,000 tokens gives no other stream
- * a token for a fifth of a second and more. Streams that may rest for a
- * quarter of a second come late beside each such prompt; those that may rest
- * for a second don't.
+ * Load pattern: a server prefills prompts in chunks between the tokens that it
+ * generates. While it prefills a prompt of 9,000 tokens, no other stream gets a
+ * token for a fifth of a second or more. A stream that allows a pause of a
+ * quarter of a second misses it beside each such prompt; a stream that allows
+ * one second doesn't.
  *
- * - Paced are the streams with the shortest pause that any request of the pool
- *   has asked for lately, unless their own prompt is long.
- * - A part of the servers is kept for them: a quarter, and more while their
- *   work needs it. In a burst of six times the usual, a quarter let them wait
- *   for seconds before servers whose other streams had hardly begun.
- * - Where a server has few slots, streams with long answers fill them long
- *   before they fill its time: the part also has slots for those that run now.
- *   Their work is known only once they end; until then a burst of them waited
- *   for slots while the other side's were free.
- * - The part is worked out from this VM's own requests and the number of entry
- *   VMs. Servers change sides in one order that all VMs share, so that VMs that
- *   differ a little differ in the last servers only, and the homes of shared
- *   prompt parts stay (load/place.h).
+ * - Paced streams are those with the shortest pause that any request of the
+ *   pool has set lately, unless their own prompt is long.
+ * - A fraction of the servers is reserved for them: a quarter, or more while
+ *   their work needs it. In a burst of six times the usual load, a fixed
+ *   quarter made them wait for seconds, although the other streams on these
+ *   servers had hardly started.
+ * - Where a server has few slots, streams with long answers use up its slots
+ *   long before its time. The fraction therefore also covers the slots of the
+ *   streams that run now: their work is known only when they end, and until
+ *   then a burst would wait for slots while those of the other servers are
+ *   free.
+ * - The fraction is computed from this VM's own requests and the number of
+ *   entry VMs. All VMs reserve servers in the same order, so that VMs with
+ *   slightly different fractions disagree only about the last servers, and the
+ *   homes of shared prompt prefixes don't move (load/place.h).
  *
- * Without any pause asked for, requests are divided by the length of their
+ * If no request sets a pause, requests are divided by the length of their
  * prompts.
  */
 struct divide {
-	int64_t pause_us;      /**< shortest asked for, 0 for none */
-	int64_t pause_seen_us; /**< when it last was */
-	double used_us;	       /**< servers' time of paced streams, fading */
-	double running;	       /**< servers whose slots they fill now */
+	int64_t pause_us;      /**< shortest that was set, 0 for none */
+	int64_t pause_seen_us; /**< when it was last set */
+	double used_us;	       /**< server time of paced streams, decaying */
+	double running;	       /**< their used slots, counted in servers */
 	int64_t used_at_us;
-	double share; /**< of the servers, kept for paced streams */
+	double share; /**< fraction of servers for paced streams */
 };
 
-/** What decides on which side a request belongs. */
+/** Input for the decision whether a request is a paced stream. */
 struct divide_query {
-	int64_t pause_us;      /**< longest that it allows, 0 for any */
-	int64_t prompt_tokens; /**< in all */
+	int64_t pause_us;      /**< longest allowed, 0 for any */
+	int64_t prompt_tokens; /**< whole prompt */
 	double mean_prompt;    /**< of the pool's requests */
-	double prefill_rate;   /**< prompt tokens a server reads a second */
+	double prefill_rate;   /**< prompt tokens per second and server */
 };
 
-/** Least part of the servers that is kept for paced streams. */
+/** Smallest fraction of the servers that is reserved for paced streams. */
 #define DIVIDE_MIN_SHARE 0.25
 
-/** Largest part: the rest must live too. */
+/** Largest such fraction; the rest serves all other requests. */
 #define DIVIDE_MAX_SHARE 0.6
 
-/** Room for paced streams, in times of the work that they bring. */
+/** Capacity reserved for paced streams, as a multiple of their work. */
 #define DIVIDE_HEADROOM 2.5
 
-/** The part changes by so much at least, as homes move with it. */
+/** Smallest change of the fraction; each change moves homes of prefixes. */
 #define DIVIDE_STEP 0.05
 
 void divide_init(struct divide *divide);
 
-/** A request that allows that pause (0 for any) has come. */
+/** Records the pause that a new request allows (0 for any). */
 void divide_record_pause(struct divide *divide, int64_t pause_us,
 			 int64_t now_us);
 
-/** Whether a request belongs on the servers kept for paced streams. */
+/** Whether a request belongs on the servers reserved for paced streams. */
 bool divide_is_paced(const struct divide *divide,
 		     const struct divide_query *query);
 
 /**
- * A paced stream has taken a part of a server for a while: the time to read
- * its prompt, or that of its answer by the server's slots.
+ * Records server time used by a paced stream: the time of its prefill, or that
+ * of its answer divided by the server's slots.
  */
 void divide_record_use(struct divide *divide, double server_us, int64_t now_us);
 
-/** A paced stream has taken a slot of a server with that many, or left it. */
+/** Record that a paced stream took or released one of a server's `slots`. */
 void divide_started(struct divide *divide, int64_t slots);
 void divide_ended(struct divide *divide, int64_t slots);
 
-/** What the part is worked out for. */
+/** The pool that the fraction is computed for. */
 struct divide_pool {
-	int vms;      /**< entry VMs that bring about as much as this one */
-	int n;	      /**< servers that are known, also those that left */
-	int n_usable; /**< of them, those that take new work */
+	int vms;      /**< entry VMs, each with about this one's load */
+	int n;	      /**< known servers, including those that left */
+	int n_usable; /**< those among them that accept new work */
 };
 
-/** Work out the part again; returns whether it has changed. */
+/** Recomputes the fraction; returns whether it changed. */
 bool divide_adjust(struct divide *divide, const struct divide_pool *pool,
 		   int64_t now_us);
 
 /**
- * Mark which of `members` are kept for paced streams.
+ * Marks which of `members` are reserved for paced streams.
  *
- * Those that are leaving keep their place in the order, as others are mostly on
- * their way to replace them: were the part chosen anew among the rest, servers
- * would change sides and back within seconds, and paced streams would meet the
- * long prompts that are read there. Further servers are marked only where too
- * few of the part stay, as when two of three zones go without replacement.
+ * Servers that are leaving keep their position in the order, since replacements
+ * are usually about to start. If they were skipped, servers would be reserved
+ * and released again within seconds, and paced streams would run beside the
+ * long prompts still in prefill there. Further servers are marked only if too
+ * few reserved ones remain, for example when two of three zones are lost
+ * without replacement.
  */
 void divide_mark(const struct divide *divide, struct backend *const *members,
 		 int n, int64_t now_us);
--- a/libfilberthall/load/floor.h
+++ b/libfilberthall/load/floor.h
@@ -6,18 +6,19 @@
 #include "load/sched.h"
 
 /**
- * Minimum shares of classes: of all work that a pool dispatches, each class
- * that waits is given its part, whatever its tier.
+ * Minimum shares of classes: each class with waiting requests gets at least its
+ * fraction of the work that a pool dispatches, whatever its tier.
  *
- * Load pattern: a high tier asks for more than there is, for hours. With
- * strict tiers alone the low ones then get nothing at all; grant summaries
- * "matter more than they look".
+ * Load pattern: a high tier demands more than the capacity for hours. With
+ * strict tiers alone the low tiers would be starved, although their work, such
+ * as grant summaries, is needed too.
  *
- * A class earns its part of each dispatch as credit while it waits, and is
- * served out of turn as soon as the credit pays for its next request. Credit
- * isn't earned while nothing waits and is spent by what is served in turn,
- * so a class that gets its part anyway is never put ahead. A higher tier may
- * wait for such a dispatch; it is never shed for one.
+ * While a class has waiting requests, it earns its fraction of each dispatch as
+ * credit. As soon as the credit covers the cost of its next request, that
+ * request is served out of turn. A class earns no credit while nothing waits,
+ * and requests served in turn use credit up, so a class that gets its fraction
+ * anyway is never preferred. A request of a higher tier may wait for such a
+ * dispatch, but is never shed because of one.
  */
 struct floor_class {
 	double min_share;
@@ -26,18 +27,18 @@
 
 struct floor {
 	struct floor_class classes[SCHED_CLASSES];
-	int highest; /**< ids at or above this have no share */
+	int highest; /**< ids at or above this have no minimum share */
 };
 
 void floor_init(struct floor *floor);
 void floor_set(struct floor *floor, int class_id, double min_share);
 
-/** Whether a class has earned the right to be served out of turn. */
+/** Whether the credit of a class covers a request of that cost. */
 bool floor_due(const struct floor *floor, int class_id, double cost);
 
 /**
- * Count a dispatch of that cost. `waits` says for each class id whether any
- * request of it waits.
+ * Records a dispatch of that cost. `waits` is indexed by class id and is true
+ * for classes with waiting requests.
  */
 void floor_served(struct floor *floor, int class_id, double cost,
 		  const bool *waits);
--- a/libfilberthall/load/length.c
+++ b/libfilberthall/load/length.c
@@ -15,7 +15,7 @@
 	char *model;
 	double counts[LENGTH_BUCKETS];
 	double total;
-	double tokens; /* sum, fading as the counts do */
+	double tokens; /* sum, decays like the counts */
 	int64_t since_fade;
 };
 
@@ -91,7 +91,7 @@
 	return at < LENGTH_BUCKETS - 1 ? (int)at : LENGTH_BUCKETS - 1;
 }
 
-/* The upper edge of a bucket, in tokens. */
+/* Upper bound of a bucket, in tokens. */
 static int64_t length_edge(int bucket)
 {
 	return (int64_t)ceil(exp2((bucket + 1) / LENGTH_PER_DOUBLING));
@@ -142,7 +142,7 @@
 		return length_cap(LENGTH_UNKNOWN_TOKENS + so_far, max_tokens);
 	for (i = first; i < LENGTH_BUCKETS; i++)
 		left += entry->counts[i];
-	/* Longer than any seen: expect as much again. */
+	/* Longer than any recorded answer: expect as many tokens again. */
 	if (left <= 0)
 		return length_cap(2 * so_far, max_tokens);
 	for (i = first; i < LENGTH_BUCKETS - 1; i++) {
