--- a/libfilberthall/fleet/backend.h
+++ b/libfilberthall/fleet/backend.h
@@ -159,7 +159,7 @@
 void backend_ended(struct backend *backend, int64_t prompt_tokens, double work,
 		   bool is_long, int64_t now_us);
 
-/** Estimated requests on the server: the last report and local changes since. */
+/** Estimated requests on the server: last report plus local changes since. */
 double backend_load(const struct backend *backend);
 
 /** Estimated prompt tokens that wait for prefill on the server. */
--- a/libfilberthall/fleet/target_plan.c
+++ b/libfilberthall/fleet/target_plan.c
@@ -242,7 +242,7 @@
 	return cost;
 }
 
-/* Remove one server of a kind where the team has most; false if none is left. */
+/* Removes a server of a kind where the team has most; false if none is left. */
 static bool target_cut_one(struct target *target, const char *team,
 			   enum target_kind kind)
 {
--- a/libfilberthall/usage/merge.h
+++ b/libfilberthall/usage/merge.h
@@ -41,7 +41,7 @@
 struct usage *usage_new(uint64_t member, uint64_t incarnation);
 void usage_free(struct usage *usage);
 
-/** Adds to this daemon's counters of the current window; needs a usage_tick(). */
+/** Adds to own counters of the current window; needs a prior usage_tick(). */
 void usage_count(struct usage *usage, const char *organisation,
 		 const char *class_name, const struct usage_counters *add);
 
