--- a/tests/fleet/servers.h
+++ b/tests/fleet/servers.h
@@ -5,7 +5,7 @@
 
 #define SECOND_US INT64_C(1000000)
 
-/** A server announces itself, with so many requests running. */
+/** Registers a server that reports this number of running requests. */
 void servers_announce(struct fleet *fleet, const char *address,
 		      const char *zone, bool cheap, int64_t running,
 		      int64_t now_us);
--- a/tests/fleet/t-digest.c
+++ b/tests/fleet/t-digest.c
@@ -71,9 +71,9 @@
 }
 
 /*
- * A server restarts under its old address. A digest of its old boot, late on
- * its way, must not change the new one; a digest of a boot that this daemon
- * never heard of must be asked about, or the server stays unknown for good.
+ * A server restarts with the same address. A delayed digest of its previous
+ * start must not change the new registration. A digest of a start unknown to
+ * this daemon must cause a query, or the server stays unknown permanently.
  */
 static void old_and_unknown_boots_are_told_apart(void)
 {
--- a/tests/fleet/t-drain.c
+++ b/tests/fleet/t-drain.c
@@ -38,8 +38,9 @@
 
 /*
  * An operator stops a server under load. A stream runs for a minute, and one
- * VM that was cut off for a moment still sends there. The stop may be ordered
- * only after a report, made when all had stopped sending, shows it empty.
+ * VM that was briefly disconnected still sends requests to the server. The stop
+ * may be ordered only after a report, made when all VMs had stopped sending,
+ * shows that the server has no requests.
  */
 static void stop_under_load_cuts_nothing(void)
 {
@@ -73,9 +74,9 @@
 }
 
 /*
- * Two servers carry a class, and a stop of one would leave nine requests for
- * the other's one free place: it is held, says so, and goes on by itself once
- * a third server has come.
+ * Two servers serve a class, and stopping one would leave nine requests for the
+ * one free slot of the other. The drain is held, reports that it is, and
+ * continues without a command once a third server has registered.
  */
 static void stop_that_leaves_no_capacity_is_held(void)
 {
@@ -129,7 +130,7 @@
 		g_assert_cmpint(seen.stops, ==, second >= 31);
 	}
 	drains_tick(drains, &seen.fleet, &policy, 61 * SECOND_US);
-	g_assert_cmpint(seen.stops, ==, 2); /* it is still there */
+	g_assert_cmpint(seen.stops, ==, 2); /* the server still exists */
 	drains_free(drains);
 	fleet_clear(&seen.fleet);
 }
--- a/tests/fleet/t-order.c
+++ b/tests/fleet/t-order.c
@@ -6,7 +6,7 @@
 #include "fleet/order.h"
 #include "servers.h"
 
-/* A site: the log's book, and a platform that ignores fencing numbers. */
+/* A site: the order book in the log, and a platform without fencing checks. */
 struct site {
 	struct order_book *book;
 	struct fleet fleet;
@@ -17,13 +17,13 @@
 	bool unavailable;
 };
 
-/* One who is, or believes to be, in charge. */
+/* A daemon that is, or assumes to be, the lease holder. */
 struct holder {
 	struct site *site;
 	struct orders *orders;
 	int64_t fence;
 	int64_t until_us;
-	bool cut_off; /* nothing it proposes is committed */
+	bool cut_off; /* none of its proposals is committed */
 	json_t *late; /* proposed and not committed yet */
 };
 
@@ -104,7 +104,7 @@
 	return list;
 }
 
-/* What the platform does with a call; NULL where it can't be had. */
+/* The platform's answer to a call; NULL if the kind isn't available. */
 static json_t *platform_take(struct site *site,
 			     const struct effect_platform_call *call)
 {
@@ -122,7 +122,7 @@
 	return json_pack("{s:s s:s}", "state", "accepted", "address", address);
 }
 
-/* Tick, carry the calls out, and hand back the answers unless `lost`. */
+/* Runs a tick, executes its calls and returns the answers unless `lost`. */
 static int holder_tick(struct holder *holder, struct target *target, bool lost)
 {
 	struct order_situation situation = situation_of(holder);
@@ -162,7 +162,7 @@
 	return orders_place(holder->orders, &situation, &step);
 }
 
-/* Mark the book, and read the platform's list back. */
+/* Marks the order book and reads the platform's list of servers. */
 static void take_charge(struct holder *holder)
 {
 	holder_tick(holder, NULL, false);
@@ -181,9 +181,9 @@
 }
 
 /*
- * The one in charge proposes an order and is replaced before it is committed.
- * Its successor plans without it; when the entry reaches the log after all,
- * it must not be taken beside the successor's own.
+ * The lease holder proposes an order and is replaced before the commit. Its
+ * successor plans without the order. When the entry is committed later, it must
+ * not be accepted in addition to the successor's own order.
  */
 static void order_of_a_former_holder_comes_too_late(void)
 {
@@ -212,9 +212,10 @@
 }
 
 /*
- * The one in charge sends a start, its answer is lost, and it is replaced.
- * The successor must read back before it orders, find the server that was
- * started, and not start a second one; the platform checks no fence.
+ * The lease holder sends a start, the answer is lost, and it is replaced. The
+ * successor must read the platform's list before it orders, find the started
+ * server and not start a second one. The platform doesn't check fencing
+ * numbers.
  */
 static void successor_starts_no_second_server(void)
 {
@@ -249,9 +250,9 @@
 }
 
 /*
- * A holder is stopped and continued after its lease has ended; another one is
- * in charge by then. It must send nothing, or the platform, which checks no
- * fence, gets orders from two.
+ * A lease holder's process is stopped and continues after its lease has ended
+ * and another daemon holds the lease. It must send nothing, or the platform,
+ * which doesn't check fencing numbers, gets orders from two daemons.
  */
 static void holder_past_its_lease_sends_nothing(void)
 {
@@ -275,7 +276,7 @@
 	site_stop(&site);
 }
 
-/* An order whose answer is lost again and again starts one server. */
+/* An order whose answer is lost repeatedly starts only one server. */
 static void lost_answers_start_one_server(void)
 {
 	struct site site;
@@ -299,8 +300,8 @@
 }
 
 /*
- * The quorum is slow: an order takes ten seconds into the log, and the plan
- * is made each five. The second plan must not order the same server again.
+ * The quorum is slow: committing an order takes ten seconds, and a plan is made
+ * every five seconds. The second plan must not order the same server again.
  */
 static void slow_commit_orders_nothing_twice(void)
 {
@@ -315,7 +316,7 @@
 	site.now_us = SECOND_US;
 	g_assert_cmpint(holder_order(&holder), ==, RESULT_OK);
 	g_assert_cmpint(holder_order(&holder), ==, RESULT_OK);
-	orders_reset(holder.orders); /* the lease wavered */
+	orders_reset(holder.orders); /* the lease was lost briefly */
 	take_charge(&holder);
 	for (i = 0; i < 2; i++) {
 		site.now_us += 5 * SECOND_US;
@@ -331,8 +332,8 @@
 }
 
 /*
- * Random changes of the one in charge, lost answers and proposals, against
- * the count of what was ordered: each order starts one server.
+ * Random changes of the lease holder, lost answers and lost proposals. Compares
+ * the servers started with the orders: each order starts one server.
  */
 static void random_changes_of_holder_start_each_server_once(void)
 {
--- a/tests/fleet/t-reclaim.c
+++ b/tests/fleet/t-reclaim.c
@@ -26,10 +26,10 @@
 }
 
 /*
- * A zone's cheap servers are reclaimed in 5 s, in the middle of streams.
- * Nothing new may go there at once, also not to one that appears during the
- * notice; what still runs is moved one server after another, the emptiest
- * first, and all of it before the end. Steady servers stay.
+ * The cheap servers of a zone are to be reclaimed in 5 s while streams run on
+ * them. From the notice on they get no new requests, nor does a server that
+ * registers during the notice. Running requests are moved server by server, the
+ * least loaded first, and all before the 5 s end. Steady servers stay.
  */
 static void zone_is_given_up_in_order_and_in_time(void)
 {
@@ -71,7 +71,7 @@
 	g_string_free(seen.moved, TRUE);
 }
 
-/* The notice comes twice, the second time with less time left. */
+/* The notice arrives twice, the second time with less time left. */
 static void second_notice_may_only_shorten_the_time(void)
 {
 	struct seen seen = { .marked = g_string_new(""),
--- a/tests/fleet/t-registry.c
+++ b/tests/fleet/t-registry.c
@@ -50,8 +50,9 @@
 }
 
 /*
- * A server leaves: "leaving", then goodbye. A beat that was held up says
- * "ready" and arrives last. Requests would go to a server that is gone.
+ * A server announces "leaving" and then deregisters. A delayed heartbeat with
+ * the state "ready" arrives last. Accepting it would send requests to a server
+ * that no longer runs.
  */
 static void test_late_ready(void)
 {
@@ -72,7 +73,7 @@
 	registry_clear(&registry);
 }
 
-/* The same id starts again: its counter begins anew, and it works. */
+/* A restart with the same id is accepted though its counter restarts. */
 static void test_reused_id(void)
 {
 	struct registry registry;
@@ -89,9 +90,9 @@
 }
 
 /*
- * A server crashes behind a partition and another service's server gets its
- * address. Then the partition heals and a beat of the dead one arrives: by
- * its word alone requests of one service would go to the other.
+ * A server crashes during a network partition and a server of another service
+ * gets its address. After the partition a delayed heartbeat of the crashed
+ * server arrives. Accepting it would send requests to the wrong service.
  */
 static void test_reused_address(void)
 {
@@ -108,7 +109,7 @@
 	g_assert_false(usable(&registry, "s1"));
 	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 8), 2), ==,
 			REGISTRY_STALE);
-	/* A start that nobody knew yet, older than the one at the address. */
+	/* An unknown start, older than the registered one at the address. */
 	g_assert_cmpint(take(&registry, told("s0", "a:1", 50, 3), 3), ==,
 			REGISTRY_STALE);
 	g_assert_cmpstr(
@@ -117,7 +118,7 @@
 	registry_clear(&registry);
 }
 
-/* One server is silent while another is heard: no work for it until it is. */
+/* A server without heartbeats, while another sends them, gets no requests. */
 static void test_silence(void)
 {
 	struct registry registry;
@@ -135,8 +136,9 @@
 }
 
 /*
- * Servers of a site announce themselves each three seconds. Two lost beats
- * took a sound server's work away, as silence was counted in seconds alone.
+ * Servers of a site send heartbeats every three seconds. Two lost heartbeats
+ * took the requests from a working server, since the time-out was a number of
+ * seconds that didn't depend on the heartbeat interval.
  */
 static void test_slow_beats(void)
 {
@@ -155,8 +157,8 @@
 }
 
 /*
- * The whole control side is gone for a minute: nobody is heard, so nobody is
- * missed, and the last known servers go on serving.
+ * All control VMs are unreachable for a minute. No server's heartbeats arrive,
+ * so none times out, and the last known servers continue to serve.
  */
 static void test_silence_of_all(void)
 {
@@ -171,7 +173,7 @@
 	registry_clear(&registry);
 }
 
-/* The living start at an address, looked for one by one. */
+/* The live registration at an address, by linear search. */
 static struct registry_entry *naive_at(const struct registry *registry,
 				       const char *address)
 {
@@ -185,7 +187,7 @@
 	return NULL;
 }
 
-/* Starts that come, leave, move and take each other's addresses and ids. */
+/* Servers start, leave, move and reuse each other's addresses and ids. */
 static void test_at_address(void)
 {
 	GRand *rand = g_rand_new_with_seed(7);
@@ -218,7 +220,7 @@
 	g_rand_free(rand);
 }
 
-/* A mark names one life of a server, and only while that isn't gone. */
+/* A short id identifies one start of a server until that start is gone. */
 static void test_marks(void)
 {
 	struct registry registry;
--- a/tests/fleet/t-sizing.c
+++ b/tests/fleet/t-sizing.c
@@ -18,7 +18,7 @@
 	return sizing;
 }
 
-/* What was there at first serves on until cheap ones do. */
+/* The initial servers continue to serve until the cheap ones do. */
 static void test_start(void)
 {
 	struct sizing sizing = pool(3, 0);
@@ -41,8 +41,8 @@
 }
 
 /*
- * Three of four zones are taken away and have nothing to give: what is left
- * is too little, so steady ones are asked for in each zone with room.
+ * Three of four zones are reclaimed and offer no cheap servers. The remaining
+ * capacity is too small, so steady servers are ordered in each zone with room.
  */
 static void test_reclaimed(void)
 {
@@ -56,9 +56,10 @@
 }
 
 /*
- * Two of four zones are taken away and have nothing to give, and a burst comes.
- * What is left carries the mean load, but callers of the burst waited for 10 s:
- * steady servers were ordered only once requests had been seen to come late.
+ * Two of four zones are reclaimed and offer no cheap servers, and a burst of
+ * requests arrives. The remaining servers handle the mean load, but callers of
+ * the burst waited for 10 s, since steady servers were ordered only after
+ * requests had been late.
  */
 static void test_dry(void)
 {
@@ -73,12 +74,12 @@
 	g_assert_cmpint(sizing.zones[0].want_steady, ==, 2);
 	g_assert_cmpint(sizing.zones[0].want_cheap, ==, 4);
 	g_assert_cmpint(sizing.zones[2].want_steady, ==, 0);
-	/* They stay as long as they are needed. */
+	/* The steady servers stay as long as they are needed. */
 	sizing.zones[0].steady = 2;
 	sizing.zones[1].steady = 2;
 	sizing_plan(&sizing);
 	g_assert_cmpint(sizing.zones[0].want_steady, ==, 2);
-	/* Cheap ones are to be had again. */
+	/* Cheap servers are available again. */
 	sizing.zones[0].cheap_unavailable = false;
 	sizing_plan(&sizing);
 	g_assert_cmpint(sizing.zones[0].want_steady, ==, 0);
@@ -98,7 +99,7 @@
 	g_assert_cmpint(sizing.zones[0].want_steady, ==, 1);
 }
 
-/* Never more of both than a place takes. */
+/* Both kinds together never exceed the limit of a place. */
 static void test_bounds(void)
 {
 	int64_t steady;
--- a/tests/fleet/t-target.c
+++ b/tests/fleet/t-target.c
@@ -7,7 +7,7 @@
 
 #define ZONES 3
 
-/* A platform that starts and stops servers at once. */
+/* A platform that starts and stops servers immediately. */
 struct site {
 	struct target *target;
 	struct fleet fleet;
@@ -16,7 +16,7 @@
 	int next;
 	int starts;
 	int stops;
-	int refused_cheap; /* zones in which the cheap kind can't be had */
+	int refused_cheap; /* zones without available cheap servers */
 };
 
 static const char *const zones[ZONES] = { "z1", "z2", "z3" };
@@ -79,7 +79,7 @@
 	fleet_clear(&site->fleet);
 }
 
-/* Let so many seconds pass under a steady demand. */
+/* Runs this number of seconds with constant demand. */
 static void run(struct site *site, int seconds, double tier0, double tier3,
 		double reclaimable)
 {
@@ -107,8 +107,8 @@
 }
 
 /*
- * A zone is lost at noon. Tier 0 must fit into what is left, so no zone may
- * be needed: 21 slots of tier 0 are 3 servers, which any two zones must hold.
+ * A zone fails at peak load. Tier 0 must fit into the remaining zones for any
+ * failed zone: 21 slots of tier 0 need 3 servers, so any two zones must have 3.
  */
 static void tier_0_fits_without_any_zone(void)
 {
@@ -126,9 +126,9 @@
 }
 
 /*
- * A site comes up: nobody asks for anything yet, and the pool's least number
- * of servers is bought. Cheap ones would refuse the first request that may not
- * be reclaimed, for as long as a server takes to start.
+ * A site starts: there is no demand yet, and the pool's minimum number of
+ * servers is ordered. With cheap servers only, the first request that may not be
+ * reclaimed would be refused for as long as a server takes to start.
  */
 static void an_idle_pool_has_steady_servers(void)
 {
@@ -142,8 +142,8 @@
 }
 
 /*
- * Demand wavers by a third each minute. Without hysteresis servers would be
- * stopped and started with it, and each start is paid for.
+ * Demand changes by a third each minute. Without hysteresis, servers would be
+ * stopped and started with it, and each start is billed.
  */
 static void wavering_demand_makes_no_flapping(void)
 {
@@ -165,8 +165,9 @@
 }
 
 /*
- * The cheap kind can't be had in one zone, then in none. Other zones take its
- * place, then steady servers; the refused offers are asked for rarely.
+ * Cheap servers are unavailable in one zone, then in all. They are replaced by
+ * servers in other zones, then by steady servers. Refused offers are retried at
+ * a low rate.
  */
 static void unavailable_cheap_servers_are_replaced(void)
 {
@@ -187,7 +188,7 @@
 	site_stop(&site);
 }
 
-/* After a reclaim of a zone the same work is bought elsewhere at once. */
+/* After a reclaim of a zone, the capacity is ordered elsewhere immediately. */
 static void reclaimed_zone_is_replaced_elsewhere(void)
 {
 	struct site site;
--- a/tests/fleet/t-weight.c
+++ b/tests/fleet/t-weight.c
@@ -4,7 +4,7 @@
 #include "fleet/weight.h"
 #include "servers.h"
 
-/* One tick; the addresses that got a call, in order. */
+/* Runs one tick; returns the addresses that were called, in order. */
 static char *tick(struct weights *weights, int limit, int64_t now_us)
 {
 	GString *calls = g_string_new("");
@@ -41,9 +41,9 @@
 }
 
 /*
- * A zone was lost, and five engines are to load weights from a store that
- * serves two at a time. What tier 0 waits for must come first, though it was
- * asked for last, and no more than two loads may run.
+ * A zone has failed, and five engines are to load weights from a store that
+ * serves two at a time. The load that tier 0 waits for must be first, though it
+ * was requested last, and at most two loads may run.
  */
 static void urgent_loads_come_first_and_few_at_a_time(void)
 {
@@ -75,7 +75,7 @@
 	weights_free(weights);
 }
 
-/* The lease ends before the call would: a pause must not let it out late. */
+/* The lease ends before the call would: it must not be sent after a pause. */
 static void no_call_outlives_the_lease(void)
 {
 	struct weights *weights = weights_new();
@@ -93,7 +93,7 @@
 	weights_free(weights);
 }
 
-/* An engine hangs in a load: after ten minutes another one gets its place. */
+/* A load hangs: after ten minutes another engine gets its slot. */
 static void hung_load_gives_its_place_up(void)
 {
 	struct weights *weights = weights_new();
