--- a/tests/entry/t-entry-usage.c
+++ b/tests/entry/t-entry-usage.c
@@ -2,16 +2,16 @@
 
 #include "bed.h"
 
-/* One request whose server breaks off 40 ms after it was sent. */
+/* Submits a request whose server closes the connection after 40 ms. */
 static void lose_answer(struct bed *bed)
 {
 	uint64_t id = bed_ask(bed, "/lodge/7", "k1");
 
-	bed_pass(bed, SECOND / 25);
+	bed_advance(bed, SECOND / 25);
 	bed_end_attempt(bed, id, RESULT_BACKEND_BROKE, 0, true);
 }
 
-/* Requests whose answers were lost were missing from their usage window. */
+/* Guards against usage windows that lack requests whose answer was lost. */
 static void test_lost_answer_counts(void)
 {
 	struct bed bed;
@@ -19,35 +19,35 @@
 
 	bed_start(&bed);
 	lose_answer(&bed);
-	bed_pass(&bed, SECOND);
-	g_assert_cmpint(bed.begun, ==, 0);
-	bed_hear_engine(&bed, 9, false);
-	bed_pass(&bed, SECOND / 2);
-	g_assert_cmpint(bed.begun, ==, 1);
-	/* The connection was refused, or nothing was sent: it can't have run. */
+	bed_advance(&bed, SECOND);
+	g_assert_cmpint(bed.reported_requests, ==, 0);
+	bed_deliver_engine(&bed, 9, false);
+	bed_advance(&bed, SECOND / 2);
+	g_assert_cmpint(bed.reported_requests, ==, 1);
+	/* Closed at once, or nothing was sent: the request can't have run. */
 	id = bed_ask(&bed, "/lodge/7", "k1");
 	bed_end_attempt(&bed, id, RESULT_BACKEND_BROKE, 0, true);
 	id = bed_ask(&bed, "/lodge/7", "k1");
-	bed_pass(&bed, SECOND / 25);
+	bed_advance(&bed, SECOND / 25);
 	bed_end_attempt(&bed, id, RESULT_BACKEND_CONNECT, 0, false);
-	bed_pass(&bed, SECOND / 2);
-	bed_hear_engine(&bed, 10, false);
-	bed_pass(&bed, SECOND / 2);
-	g_assert_cmpint(bed.begun, ==, 1);
+	bed_advance(&bed, SECOND / 2);
+	bed_deliver_engine(&bed, 10, false);
+	bed_advance(&bed, SECOND / 2);
+	g_assert_cmpint(bed.reported_requests, ==, 1);
 	bed_end(&bed);
 }
 
-/* Requests that a crashed server had not begun were billed. */
+/* Guards against billing requests that a crashed server hadn't started. */
 static void test_crash_counts_nothing(void)
 {
 	struct bed bed;
 
 	bed_start(&bed);
 	lose_answer(&bed);
-	bed_pass(&bed, 6 * SECOND);
-	bed_hear_engine(&bed, 9, false);
-	bed_pass(&bed, SECOND);
-	g_assert_cmpint(bed.begun, ==, 0);
+	bed_advance(&bed, 6 * SECOND);
+	bed_deliver_engine(&bed, 9, false);
+	bed_advance(&bed, SECOND);
+	g_assert_cmpint(bed.reported_requests, ==, 0);
 	bed_end(&bed);
 }
 
