--- a/libfilberthall/load/router_attempt.c
+++ b/libfilberthall/load/router_attempt.c
@@ -7,10 +7,10 @@
 
 #define ATTEMPT_CONNECT_MS 1000
 
-/* A stream that says nothing for so long is dead. */
+/* A stream without data for this long has failed. */
 #define ATTEMPT_IDLE_MS 15000
 
-/* When a pooled connection is taken for lost, see attempt_first_byte_ms(). */
+/* Time after which a pooled connection counts as dead; see below. */
 #define ATTEMPT_SILENT_MS 5000
 #define ATTEMPT_SILENT_FACTOR 8
 
@@ -21,12 +21,13 @@
 #define ATTEMPT_KEEP_LIMIT (INT64_C(1) << 20)
 
 /*
- * A pooled connection may have been lost track of in the middle while new
- * ones to the same server work. A stream that says nothing there for far
- * longer than first tokens take is given up and tried over a new connection;
- * without this bound the request would wait its whole deadline where there
- * is no second server to hedge with. Eight times the mean, and five seconds
- * at the least: a slow prefill must not be taken for a lost connection.
+ * A middlebox may have dropped the state of a pooled connection while new
+ * connections to the same server work. An attempt that receives no data on
+ * a pooled connection for far longer than the usual time to first token is
+ * aborted and retried on a new connection; without this limit the request
+ * would wait until its deadline if there is no second server to hedge with.
+ * The limit is eight times the mean and at least five seconds, so that a slow
+ * prefill isn't mistaken for a dead connection.
  */
 static int64_t attempt_first_byte_ms(const struct request *request, bool proven,
 				     int64_t left_ms)
@@ -59,10 +60,11 @@
 	start->idle_ms = ATTEMPT_IDLE_MS;
 	start->resume_tokens = attempt->base;
 	/*
-	 * A pooled connection may have died unseen. Whether the request got
-	 * through it can't be known, and this one may not be sent twice. Nor
-	 * may a second attempt meet the fate of the first: what silenced one
-	 * connection often silenced those to other servers as well.
+	 * A pooled connection may be dead without a visible error. Whether the
+	 * server received the request is then unknown, and a non-idempotent
+	 * request must not be sent twice. Later attempts don't use pooled
+	 * connections either: the fault that broke one connection has often
+	 * broken those to other servers as well.
 	 */
 	start->proven = !request->spec.idempotent || attempt->number > 1;
 	start->first_byte_ms =
@@ -76,7 +78,7 @@
 {
 	const struct request *request = attempt->request;
 
-	/* Cheap servers are no part of what is shared by tier. */
+	/* Cheap servers aren't part of the slots shared by tier. */
 	if (!attempt->on_cheap) {
 		pool->running += by;
 		pool->running_by_tier[request->tier] += by;
@@ -139,7 +141,7 @@
 	request_update_timer(router, request, now_us);
 }
 
-/** Ask for the end of an attempt; it counts as long as it hasn't come. */
+/** Cancel an attempt; it stays counted until the edge reports its end. */
 void attempt_cancel(struct attempt *attempt, enum result why,
 		    struct effects *effects)
 {
@@ -213,12 +215,12 @@
 	pool_record_prefill(pool, attempt->prompt_tokens,
 			    now_us - attempt->started_us);
 	attempt->prompt_tokens = 0;
-	/* The engine generates anew what the caller has already had. */
+	/* The engine regenerates the tokens that the caller already has. */
 	request->wasted += attempt->base;
 	request_update_timer(router, request, now_us);
 }
 
-/* The caller's view: a pause counts also where another server goes on. */
+/* A pause in the caller's stream counts also if the server has changed. */
 static void request_note_piece(struct request *request, int64_t now_us)
 {
 	int64_t pause_us = now_us - request->piece_us;
@@ -255,7 +257,7 @@
 		attempt_first_token(router, attempt, now_us);
 }
 
-/* Take an attempt off all counts and free it. */
+/* Remove an attempt from all counters and free it. */
 static void attempt_remove(struct router *router, struct attempt *attempt,
 			   int64_t now_us)
 {
@@ -288,7 +290,7 @@
 	       code == RESULT_BACKEND_TIMEOUT || code == RESULT_BACKEND_BROKE;
 }
 
-/* What an attempt's end says about its server. */
+/* Update the server's health by the result of an attempt. */
 static void attempt_update_health(struct router *router,
 				  const struct attempt *attempt,
 				  const struct event_attempt_ended *ended,
@@ -316,15 +318,15 @@
 	if (backend)
 		health_failed(&backend->health, now_us);
 	/*
-	 * Something between the two ends may have lost track of all pooled
-	 * connections to this address: they look open and carry nothing.
+	 * A middlebox may have dropped the state of all pooled connections to
+	 * this address: they look open and transfer nothing.
 	 */
 	if (!attempt->first_us)
 		effects_add(effects, EFFECT_DISTRUST)->u.distrust.address =
 			xstrdup(attempt->address);
 }
 
-/* A crash is counted against the request, on this VM and the others. */
+/* Count a crash against the request, on this VM and all others. */
 static bool attempt_record_crash(struct router *router,
 				 const struct attempt *attempt, int64_t now_us,
 				 struct effects *effects)
@@ -369,7 +371,7 @@
 	request_end(router, request, RESULT_OK, ended, now_us, effects);
 }
 
-/* Wait for another attempt, in the old place by due time. */
+/* Enqueue the request for another attempt, with its old due time. */
 static void request_requeue(struct router *router, struct request *request,
 			    const struct attempt *attempt, int64_t now_us)
 {
@@ -419,7 +421,7 @@
 	request_requeue(router, request, attempt, now_us);
 }
 
-/* Cancelled to make room or to try elsewhere: it waits again. */
+/* An attempt was preempted or moved: the request waits again. */
 static void request_cancelled(struct router *router, struct request *request,
 			      const struct attempt *attempt, int64_t now_us,
 			      struct effects *effects)
@@ -462,8 +464,9 @@
 			    effects);
 	copy = *attempt;
 	/*
-	 * Tokens go on to the caller until the edge carries the cancel out.
-	 * Were they not counted, the next attempt would give them again.
+	 * The edge delivers tokens to the caller until it has executed the
+	 * cancel. They are counted; otherwise the next attempt would deliver
+	 * them again.
 	 */
 	if (request->spec.stream &&
 	    (!copy.cancelled || request->delivered < copy.base + ended->tokens))
--- a/libfilberthall/load/router_dispatch.c
+++ b/libfilberthall/load/router_dispatch.c
@@ -3,10 +3,10 @@
 
 #include "load/router_state.h"
 
-/* Slots left free for the top tier, in roots of what it has running. */
+/* Slots kept free for the top tier, per square root of its running requests. */
 #define DISPATCH_HEADROOM 1.5
 
-/* Short work seen within this time keeps long work to its part of a server. */
+/* Long requests stay capped for this long after the last short request. */
 #define DISPATCH_SHORT_US INT64_C(10000000)
 
 static struct request *entry_request(struct sched_entry *entry)
@@ -14,7 +14,7 @@
 	return container_of(entry, struct request, entry);
 }
 
-/* A request of a class that has earned its turn by its minimum share. */
+/* The next request of a class whose minimum share is due. */
 static struct request *pool_next_floor(const struct pool *pool)
 {
 	struct sched_entry *entry;
@@ -35,7 +35,7 @@
 	return NULL;
 }
 
-/* The next by tier; between queues of a tier, the one due first. */
+/* The next request by tier; among the queues of a tier, by due time. */
 static struct request *pool_next_tier(const struct pool *pool)
 {
 	int lowest = pool_lowest_served_tier(pool);
@@ -60,10 +60,10 @@
 }
 
 /*
- * Slots that a lower tier leaves free for the next request of a higher one.
- * Each VM has but a part of the pool (a seventh: 55 slots), in which slots
- * come free too seldom for a target of half a second. Demand of n slots
- * wavers by its square root (square-root staffing, Halfin and Whitt 1981).
+ * Slots that a lower tier keeps free for the next request of a higher tier.
+ * Each VM has only a part of the pool (55 slots with seven VMs), in which slots
+ * are freed too rarely for a target of half a second. A demand of n slots
+ * varies by its square root (square-root staffing, Halfin and Whitt 1981).
  */
 static int64_t pool_headroom(const struct pool *pool, int tier)
 {
@@ -85,9 +85,9 @@
 	if (!router_limits_pool(router))
 		return true;
 	/*
-	 * A minimum share isn't held up by headroom: where the top tier fills
-	 * every slot, the class would starve, and what it is owed would come
-	 * all at once when slots come free.
+	 * Headroom doesn't apply to minimum shares: if the top tier filled
+	 * every slot, the class would starve, and its accumulated credit would
+	 * be served all at once when slots become free.
 	 */
 	if (!by_floor)
 		own -= pool_headroom(pool, request->tier);
@@ -95,8 +95,9 @@
 }
 
 /*
- * Those that are leaving are members still, but take nothing more: counted as
- * others, they kept a request from the only server left until it expired.
+ * Only usable members count. Draining servers are still members but accept no
+ * requests; when they were counted, a request avoided the only remaining
+ * server until it expired.
  */
 static bool has_other(const struct pool *pool, const char *address,
 		      int64_t now_us)
@@ -110,7 +111,7 @@
 	return false;
 }
 
-/* Not where it has failed before, as long as there is another server. */
+/* Avoid the server of the failed attempt unless there is no other. */
 static struct backend *pick_avoiding(struct router *router,
 				     const struct pool *pool,
 				     struct pick_query *query, int64_t now_us)
@@ -127,8 +128,8 @@
 }
 
 /*
- * Whether this VM's slots are enough to have some on each server. If not, its
- * part of many servers is none, and it chooses among all by their reports.
+ * Whether this VM has enough slots for some on each server. If not, its part
+ * of many servers is zero slots, and it chooses among all servers by load.
  */
 static bool parts_reach(const struct pool *pool, double own_slots)
 {
@@ -161,8 +162,8 @@
 }
 
 /*
- * Reclaimable work goes to cheap servers first: they cost less, and nothing
- * else may use them. The VMs have equal parts of these.
+ * Reclaimable requests are sent to cheap servers first: these cost less, and
+ * no other requests may use them. The VMs have equal parts of them.
  */
 static struct backend *request_pick(struct router *router,
 				    struct request *request, bool by_floor,
@@ -212,8 +213,8 @@
 	return pick_avoiding(router, pool, &query, now_us);
 }
 
-/* Too late to be of use: the deadline is past, or the target is and the
- * queue stands. */
+/* Whether a request is too late: its deadline has passed, or its target has
+ * passed and it waits in a standing queue. */
 static enum result request_expiry(const struct router *router,
 				  const struct request *request, int64_t now_us)
 {
--- a/libfilberthall/load/router_end.c
+++ b/libfilberthall/load/router_end.c
@@ -23,7 +23,7 @@
 	return node ? container_of(node, struct request, node) : NULL;
 }
 
-/** The attempt that still counts, or NULL. */
+/** The attempt that isn't cancelled, or NULL. */
 struct attempt *request_attempt(const struct request *request)
 {
 	struct attempt *attempt;
@@ -84,8 +84,9 @@
 }
 
 /*
- * "Not run" is a promise: it holds only if no attempt is under way, since a
- * byte may leave before the edge hears of the cancel, and none was sent.
+ * RUN_NOT guarantees that no server executed the request. It requires that no
+ * byte was sent and that no attempt is in progress, since the edge may still
+ * send a byte before it receives the cancel.
  */
 static enum run_state request_run(const struct request *request,
 				  enum result code)
@@ -110,8 +111,8 @@
 	if (request->target_us && first > request->target_us)
 		return false;
 	/*
-	 * A mean hides it: a stream that stands still for a second while long
-	 * prompts are read beside it still has a quick mean.
+	 * The mean below doesn't show pauses: a stream that stalls for a second
+	 * during the prefill of other requests still has a low mean.
 	 */
 	if (rule->pause_us && request->pause_us > rule->pause_us)
 		return false;
@@ -155,7 +156,7 @@
 		hooks->finished(hooks->data, &outcome);
 }
 
-/* Give back or true up what the limits were charged. */
+/* Refund the charges to the limits, or correct them to the actual use. */
 static void request_settle(struct router *router, struct request *request,
 			   enum result code, int64_t now_us)
 {
@@ -225,7 +226,7 @@
 		request_free(router, request);
 }
 
-/** Give a request up; its caller is told at once when to come back. */
+/** Refuse a request; the answer contains the time to retry after. */
 void request_refuse(struct router *router, struct request *request,
 		    enum result code, int64_t retry_after_ms, int64_t now_us,
 		    struct effects *effects)
@@ -234,7 +235,7 @@
 		       effects);
 }
 
-/** End a request for good; its other attempts are cancelled. */
+/** End a request; its remaining attempts are cancelled. */
 void request_end(struct router *router, struct request *request,
 		 enum result code, const struct event_attempt_ended *ended,
 		 int64_t now_us, struct effects *effects)
--- a/libfilberthall/load/router_pool.c
+++ b/libfilberthall/load/router_pool.c
@@ -5,48 +5,48 @@
 #include "base/alloc.h"
 #include "load/router_state.h"
 
-/* A tier whose oldest has waited for so much of its target is pressed. */
+/* Part of the target after which a waiting request causes pressure. */
 #define POOL_PRESSURE_FRACTION 0.75
 
 /*
- * Lower tiers stay closed for so long after that. A request of the pressed
- * tier may just have been shed; without the hold, capacity that comes back
- * lets lower tiers in within the same second.
+ * Lower tiers stay closed for this long after the pressure ends. It may have
+ * ended only because a request was shed; without the hold, lower tiers would
+ * take returning capacity within the same second.
  */
 #define POOL_PRESSURE_HOLD_US INT64_C(1250000)
 
-/* Members are counted anew so often; each decision would be too often. */
+/* Interval of counting members; at each decision it would cost too much. */
 #define POOL_COUNT_US INT64_C(20000)
 
 /*
- * Time that goes by for each member before they are counted or listed again:
- * so a pool of thousands that comes and goes costs no more than a small one.
+ * Least time per member between two counts or listings, so that a pool of
+ * thousands with frequent changes costs no more than a small one.
  */
 #define POOL_MEMBER_US INT64_C(100)
 
-/* Up to so many are listed anew with each change. */
+/* Pools of up to this many members are listed again at each change. */
 #define POOL_SMALL 256
 
-/* Running averages over about this many attempts. */
+/* Gain of running averages, over about 64 attempts. */
 #define POOL_GAIN (1.0 / 64)
 
-/* Running averages of one class, which ends fewer. */
+/* Gain of the running averages of one class, which has fewer attempts. */
 #define POOL_CLASS_GAIN (1.0 / 16)
 
-/* The time of a class of which nothing ends counts half after so long. */
+/* Half-life of the mean time of a class without completed requests. */
 #define POOL_CLASS_HALF_US 2000000.0
 
-/* Until measured: a request's work in tokens and time in a slot. */
+/* Initial estimates of a request's cost in tokens and time per token. */
 #define POOL_DEFAULT_COST 300.0
 #define POOL_DEFAULT_US_PER_TOKEN 20000.0
 
-/* Until measured: prompt tokens that an engine reads a second. */
+/* Initial estimate of an engine's prefill rate, in tokens per second. */
 #define POOL_DEFAULT_PREFILL_RATE 20000.0
 
-/* Shorter prompts say little about the pace of reading. */
+/* Shorter prompts give no useful estimate of the prefill rate. */
 #define POOL_PREFILL_MIN_TOKENS 4000
 
-/* A best pace that isn't seen again fades by half in some 350 answers. */
+/* The best prefill rate decays by half in about 350 samples. */
 #define POOL_PREFILL_DECAY 0.002
 
 static bool pool_match(const struct map_node *node, const void *key)
@@ -150,7 +150,7 @@
 	free(pool);
 }
 
-/* The fleet has changed since the members were listed. */
+/* List the members again after a change of the fleet. */
 static void pool_list_members(const struct fleet *fleet, struct pool *pool,
 			      int64_t now_us)
 {
@@ -170,7 +170,7 @@
 	divide_mark(&pool->divide, pool->members, pool->n_members, now_us);
 }
 
-/* Slots and load, weighted by health, of members that may get work. */
+/* Sum up the load and the health-weighted slots of usable members. */
 static void pool_count_members(const struct router *router, struct pool *pool,
 			       int64_t now_us)
 {
@@ -199,7 +199,7 @@
 	pool->counted_us = now_us;
 }
 
-/* What was freed must go at once; the rest may wait in a large pool. */
+/* Freed members are removed at once; other changes of a large pool may wait. */
 static bool pool_must_list(const struct pool *pool, const struct fleet *fleet,
 			   int64_t now_us)
 {
@@ -239,8 +239,8 @@
 }
 
 /*
- * A queue that hasn't been empty for twice a request's target isn't a burst
- * any more: it stands, and what waits in it only gets later (compare CoDel).
+ * A queue that hasn't been empty for twice a request's target is no burst but
+ * a standing queue, which only adds delay (compare CoDel).
  */
 bool request_in_standing_queue(const struct request *request, int64_t now_us)
 {
@@ -259,7 +259,7 @@
 	return (double)pool->grant;
 }
 
-/* Work ahead in strict order, at the pace of own slots. */
+/* Expected wait by tier order, at the rate of this VM's slots. */
 static double wait_by_tier(const struct pool *pool,
 			   const struct request *request, double slots)
 {
@@ -275,7 +275,7 @@
 	return (ahead + pool->mean_cost) * pool->us_per_token / slots;
 }
 
-/* Work ahead in the class, at the pace of its minimum share. */
+/* Expected wait within the class, at the rate of its minimum share. */
 static double wait_by_share(const struct pool *pool,
 			    const struct request *request, double slots)
 {
@@ -294,7 +294,7 @@
 	return ahead * pool->us_per_token / (slots * share);
 }
 
-/* Reclaimable work ahead, at the pace of the cheap servers. */
+/* Expected wait of reclaimable requests, at the rate of cheap servers. */
 static double wait_by_cheap(const struct router *router,
 			    const struct pool *pool,
 			    const struct request *request)
@@ -313,7 +313,7 @@
 	return ahead * pool->us_per_token / slots;
 }
 
-/** Expected wait: by its tier's turn or its class's minimum share. */
+/** Expected wait: the least by tier, minimum share and cheap servers. */
 double pool_wait_us(const struct router *router, const struct pool *pool,
 		    const struct request *request)
 {
@@ -341,7 +341,7 @@
 		gain = POOL_GAIN;
 	pool->mean_cost += gain * (cost - pool->mean_cost);
 	pool->mean_log_cost += gain * (log(cost) - pool->mean_log_cost);
-	/* Weighted by work, so that it is time over work in the long run. */
+	/* Weighted by cost, so that it converges to total time / total cost. */
 	gain *= cost / pool->mean_cost;
 	if (gain > 1)
 		gain = 1;
@@ -361,10 +361,11 @@
 }
 
 /*
- * By class: work in tokens doesn't tell, as a long prompt takes less time than
- * a short one with a long answer, and where the latter abound, the former was
- * refused for want of time that it didn't need. A class that is refused gives
- * no new figures, so the old one fades until a request is tried again.
+ * The mean is kept by class, since the cost in tokens doesn't predict the time:
+ * a long prompt takes less time than a short one with a long answer, and when
+ * most requests were of the latter kind, long prompts were refused for a time
+ * that they didn't need. A class whose requests are all refused gives no new
+ * samples, so its mean decays until a request is admitted again.
  */
 double pool_class_us(const struct pool *pool, int class_id, int64_t now_us)
 {
@@ -383,9 +384,8 @@
 }
 
 /*
- * How quickly an engine reads: the best that was seen lately. First tokens
- * come later than by reading alone, for all that an engine does beside it, so
- * a mean would be far too low.
+ * The prefill rate of an engine is the best recent sample. The time to first
+ * token includes other work of the engine, so a mean would be far too low.
  */
 void pool_record_prefill(struct pool *pool, int64_t tokens, int64_t took_us)
 {
@@ -419,13 +419,13 @@
 	if (!oldest)
 		return false;
 	due_us = oldest->target_us ? oldest->target_us : oldest->deadline_us;
-	/* A retried one is late by its server, not for want of room. */
+	/* Counted from the last enqueueing: a retry is late because of its server. */
 	return (double)(now_us - oldest->waiting_since_us) >
 	       POOL_PRESSURE_FRACTION *
 		       (double)(due_us - oldest->spec.arrived_us);
 }
 
-/* Whether the tier is pressed or has been within the hold. */
+/* Whether the tier is under pressure or was within the hold time. */
 static bool tier_recently_under_pressure(struct pressure *pressure,
 					 int64_t now_us)
 {
@@ -434,7 +434,7 @@
 	return now_us - pressure->last_pressure_us < POOL_PRESSURE_HOLD_US;
 }
 
-/* Note which tier waits, and since when those below it are closed. */
+/* Update which tier is under pressure and since when lower tiers are closed. */
 void pool_update_pressure(struct router *router, struct pool *pool,
 			  int64_t now_us)
 {
--- a/libfilberthall/load/router_preempt.c
+++ b/libfilberthall/load/router_preempt.c
@@ -54,7 +54,7 @@
 	return best;
 }
 
-/* The highest tier's next, of those that wait for room alone. */
+/* The next waiting request of the highest tier that is served. */
 static struct request *pool_first_waiting(const struct pool *pool)
 {
 	struct sched_entry *best = NULL;
@@ -73,8 +73,8 @@
 }
 
 /*
- * How many of a tier's waiting requests won't find a slot by itself in time:
- * slots come free one after the other as what runs ends.
+ * How many of a tier's waiting requests won't get a slot in time without
+ * preemption: slots become free one by one as running requests end.
  */
 static int64_t pool_missing_slots(const struct pool *pool,
 				  const struct request *first, int64_t now_us)
@@ -92,7 +92,7 @@
 	return waiting > by_itself ? (int64_t)(waiting - by_itself) : 0;
 }
 
-/** Free places of lower tiers for what waits and would be late. */
+/** Preempt attempts of lower tiers for requests that would be late. */
 void router_preempt(struct router *router, struct pool *pool, int64_t now_us,
 		    struct effects *effects)
 {
--- a/libfilberthall/load/router_share.c
+++ b/libfilberthall/load/router_share.c
@@ -7,14 +7,14 @@
 #include "load/share.h"
 #include "load/share_message.h"
 
-/** Who hands out shares, and which daemons live. */
+/** The allocator of shares and the live daemons. */
 struct router_peers {
 	uint64_t allocator;
 	uint64_t *members; /* sorted */
 	int n;
-	int self;	       /* own place among them, -1 if not */
-	int64_t round_us;      /* of the last round */
-	int64_t last_grant_us; /* of the last grants */
+	int self;	  /* index of this daemon in members, -1 if absent */
+	int64_t round_us; /* time of the last round */
+	int64_t last_grant_us; /* time of the last grants */
 	int64_t rounds;
 	struct share *allocator_state; /* while this router is the allocator */
 };
@@ -37,7 +37,7 @@
 	return router->options.features.shares && router->peers->n > 1;
 }
 
-/** Whether what runs before a pool is all this daemon's or its part. */
+/** Whether this daemon may use only its part of a pool's slots. */
 bool router_limits_pool(const struct router *router)
 {
 	return router->options.features.shares;
@@ -51,7 +51,7 @@
 	return (x > y) - (x < y);
 }
 
-/* The equal part of a whole number that falls to this daemon. */
+/* This daemon's equal part of `total`. */
 static int64_t equal_part(const struct router_peers *peers, int64_t total)
 {
 	int at = peers->self < 0 ? 0 : peers->self;
@@ -59,13 +59,13 @@
 	return share_fallback(total, peers->n, at);
 }
 
-/** The part of everything that is this daemon's without an allocator. */
+/** This daemon's fraction of all capacity without an allocator. */
 double router_equal_share(const struct router *router)
 {
 	return router_shares(router) ? 1.0 / router->peers->n : 1;
 }
 
-/** Its bounds, as parts of one. */
+/** Bounds of this daemon's equal part, in 0..1. */
 void router_equal_bounds(const struct router *router, double *from,
 			 double *until)
 {
@@ -75,7 +75,7 @@
 	*until = (at + 1) / router->peers->n;
 }
 
-/* Nobody hands out shares: each daemon takes the equal part. */
+/* Without an allocator, each daemon uses an equal part. */
 static void router_use_equal_shares(struct router *router, int64_t now_us)
 {
 	const struct router_peers *peers = router->peers;
@@ -87,7 +87,7 @@
 	map_foreach(pool, after, &router->pools, node) {
 		pool_refresh(router, pool, now_us);
 		pool->grant = equal_part(peers, (int64_t)pool->slots);
-		/* A pool smaller than the number of daemons serves all. */
+		/* Each daemon may use a pool with fewer slots than daemons. */
 		if (!pool->grant && pool->slots > 0)
 			pool->grant = 1;
 		router_equal_bounds(router, &pool->own_from, &pool->own_until);
@@ -153,8 +153,8 @@
 }
 
 /*
- * An organisation in use, and once more when its use has ended, so that the
- * part it leaves goes to the others.
+ * Report the use of an organisation, and once more after it has ended, so that
+ * the allocator gives this daemon's part to the others.
  */
 static void write_use(struct share_writer *writer,
 		      struct organisation *organisation)
@@ -176,7 +176,7 @@
 	quota->reported = in_use;
 }
 
-/* What this daemon has and wants, for the allocator. */
+/* Encode this daemon's slots, demand and usage for the allocator. */
 static struct bytes router_demand(struct router *router, int64_t now_us)
 {
 	struct router_peers *peers = router->peers;
@@ -200,7 +200,7 @@
 	return share_write_end(&writer, SHARE_DEMAND);
 }
 
-/* A message that is being read, and from whom. */
+/* Context of the message that is being decoded. */
 struct message {
 	struct router *router;
 	uint64_t peer;
@@ -335,7 +335,7 @@
 	share_write_limit_grant(data, part);
 }
 
-/* Work out a round and tell everybody, this router included. */
+/* Compute a round and send the grants to all daemons, also to this one. */
 static void router_allocate(struct router *router, int64_t now_us,
 			    struct effects *effects)
 {
@@ -359,7 +359,7 @@
 	}
 }
 
-/** Each round: say what is wanted, hand out, or fall back. */
+/** Run a round: report demand, allocate, or fall back to equal parts. */
 void router_share_tick(struct router *router, int64_t now_us,
 		       struct effects *effects)
 {
@@ -386,7 +386,7 @@
 		router_use_equal_shares(router, now_us);
 }
 
-/** Tell all others that a server crashed with this request on it. */
+/** Report to all other daemons a server crash while this request ran. */
 void router_share_crash(struct router *router, uint64_t fingerprint,
 			uint64_t server, int64_t ran_us,
 			struct effects *effects)
