--- a/libfilberthall/load/pick.c
+++ b/libfilberthall/load/pick.c
@@ -3,13 +3,13 @@
 #include <math.h>
 #include <string.h>
 
-/* Prefill pace of servers that don't say theirs, tokens a second. */
+/* Assumed prefill rate of servers that report none, tokens per second. */
 #define PICK_PREFILL_RATE 10000.0
 
-/* Pace of one stream where nothing is known yet. */
+/* Assumed time per token of one stream while none is measured. */
 #define PICK_TOKEN_US 30000.0
 
-/* Reports older than this say nothing about load. */
+/* Load reports older than this are ignored. */
 #define PICK_REPORT_OLD_US INT64_C(10000000)
 
 static double backend_weight(const struct backend *backend,
@@ -49,7 +49,7 @@
 	       (int64_t)floor(query->own_from * slots + phase);
 }
 
-/* Whether the server has room for one more, by report and own count. */
+/* Whether the server has a free slot, by its report and this VM's count. */
 static bool pick_has_room(const struct backend *backend,
 			  const struct pick_query *query,
 			  const struct pick_options *options, int64_t now_us)
@@ -60,13 +60,13 @@
 
 	if (query->own_until > 0)
 		own = (double)pick_own_slots(backend, slots, query);
-	/* A probe of a server that comes back or straggles is always let by. */
+	/* Allow one probe of a server that is recovering or straggling. */
 	if (weight < 1 && own < 1)
 		own = 1;
 	if (query->cap_long &&
 	    (double)backend->own.long_running >= ceil(own * PICK_LONG_SHARE))
 		return false;
-	/* Shares bound the sum over VMs; without them the report must do. */
+	/* The VMs' shares limit their sum; without shares the report decides. */
 	if (query->own_until > 0 || weight < 1)
 		return (double)backend->own.running < own;
 	return backend_load(backend) < slots;
@@ -93,7 +93,7 @@
 	if (!options->prefix_affinity ||
 	    !prefix_holds(query->prefix, backend->node.hash))
 		prompt += (double)query->prompt_tokens;
-	/* A fuller batch is slower; this also breaks ties by load. */
+	/* A larger batch is slower; this term also breaks ties by load. */
 	return wait + prompt / rate * 1e6 + token_us * (1 + load / slots);
 }
 
@@ -140,7 +140,7 @@
 	return best;
 }
 
-/* The n-th server with room, counted from a random start. */
+/* Returns the first server with a free slot, from a random start. */
 static struct backend *pick_random(const struct pick_options *options,
 				   const struct pick_query *query,
 				   struct backend *const *members, int n,
@@ -177,7 +177,7 @@
 	return best;
 }
 
-/* What decides whether a server may take a request, for place_choose(). */
+/* Arguments of case_fits(), passed through place_choose(). */
 struct pick_case {
 	const struct pick_options *options;
 	const struct pick_query *query;
--- a/libfilberthall/load/place.c
+++ b/libfilberthall/load/place.c
@@ -29,17 +29,17 @@
 	if (!holds)
 		cost += PLACE_RECOMPUTE_FACTOR * (double)query->shared_tokens /
 			query->prefill_rate;
-	/* Without prompts, as of a plain service, there is nothing to divide. */
+	/* Pools without prompts, such as plain services, aren't divided. */
 	if (query->divided && query->paced != backend->for_paced)
 		cost += query->paced ? PLACE_PACED_SPILL_S
 				     : PLACE_UNPACED_SPILL_S;
 	if (query->zone && strcmp(query->zone, backend->zone) != 0)
 		cost += PLACE_REMOTE_ZONE_S;
-	/* This also spreads what is equal. */
+	/* This term also spreads requests over otherwise equal servers. */
 	return cost + PLACE_FULL_BATCH_S * backend_load(backend) / slots;
 }
 
-/* From 0 to 1, by chance but the same for the same draw and server. */
+/* Pseudorandom from 0 to 1, a function of the draw and the server. */
 static double place_tie_break(uint64_t draw, const struct backend *backend)
 {
 	return (double)place_score(draw, backend) / (double)UINT64_MAX;
--- a/libfilberthall/load/place.h
+++ b/libfilberthall/load/place.h
@@ -8,79 +8,79 @@
 #include "load/prefix.h"
 
 /**
- * Where a model's request is best sent, when many VMs choose on their own.
+ * Placement of a model's requests when many VMs choose independently.
  *
- * Load pattern: each request repeats 6,000 to 13,000 prompt tokens that some
- * hundred others share and brings 1,000 to 4,000 of its own. An engine that
- * has read the shared part before reads only the rest. If each VM remembers
- * for itself where it sent a part, seven VMs read it on seven engines: their
- * memory holds each part several times, and captions beside such a reading
- * stand still.
+ * Load pattern: each request repeats 6,000 to 13,000 prompt tokens that about a
+ * hundred others share, and adds 1,000 to 4,000 of its own. An engine that has
+ * the shared prefix in its cache only prefills the rest. If each VM only
+ * remembers where it sent a prefix itself, seven VMs prefill it on seven
+ * engines: each prefix is cached several times, and captions on an engine with
+ * such a prefill get no tokens meanwhile.
  *
- * - Each shared part has a home that all VMs agree on without a word: the
- *   engine with the highest hash of part and address (rendezvous hashing). An
- *   engine that goes moves only its own parts, and one that comes takes only
- *   what becomes its own.
- * - Another engine is taken only if the home is so far behind that reading the
- *   part anew is quicker by PLACE_RECOMPUTE_FACTOR times: it also costs those
- *   who are served there.
- * - Where several are as good, each request draws one, by its part if it has
- *   one: what spills over from a busy home then meets where the part was read.
- *   Without that all VMs take the same one of equals, and second tries meet on
- *   one server while others have nothing to do.
- * - Paced streams have a part of the engines to themselves (load/divide.h), for
- *   long prompts delay every token that is generated beside them; only when
- *   these are behind do they go elsewhere.
+ * - Each shared prefix has a home on which all VMs agree without communication:
+ *   the engine with the highest hash of prefix and address (rendezvous
+ *   hashing). An engine that leaves moves only its own prefixes, and a new one
+ *   takes over only those that become its own.
+ * - Another engine is taken only if the home is so far behind that computing
+ *   the prefix again is faster, even when counted PLACE_RECOMPUTE_FACTOR times:
+ *   a prefill also delays the other requests on that engine.
+ * - Among equally good servers each request draws one, by its prefix if it has
+ *   one, so that requests that overflow from a busy home meet where the prefix
+ *   is cached. Without the draw all VMs would choose the same one of equal
+ *   servers, and retries would collide on one server while others are idle.
+ * - Paced streams have engines reserved for them (load/divide.h), because long
+ *   prompts delay every token generated beside them. They are sent elsewhere
+ *   only when these engines are behind.
  */
 
-/** How many times over the reading of a shared part counts where it's new. */
+/** Weight of the prefill of a shared prefix that isn't cached yet. */
 #define PLACE_RECOMPUTE_FACTOR 3.0
 
-/** What a paced stream bears before it goes among the others, s. */
+/** Extra cost of a paced stream on a server not reserved for them, s. */
 #define PLACE_PACED_SPILL_S 0.05
 
-/** What the others bear before they go among paced streams, s. */
+/** Extra cost of other requests on a server for paced streams, s. */
 #define PLACE_UNPACED_SPILL_S 4.0
 
-/** What another zone's way and bytes count for, s. */
+/** Cost of the latency and traffic to another availability zone, s. */
 #define PLACE_REMOTE_ZONE_S 0.004
 
-/** Servers that differ by less are as good, s. */
+/** Servers whose costs differ by less count as equal, s. */
 #define PLACE_TIE_S 0.00005
 
-/** What a full batch counts for against an empty one, s: it is slower. */
+/** Cost of a full batch over an empty one, as full batches are slower, s. */
 #define PLACE_FULL_BATCH_S 0.02
 
 struct place_query {
-	uint64_t prefix_hash;  /**< of the shared parts, 0 for none */
-	int64_t shared_tokens; /**< of the prompt */
-	int64_t prompt_tokens; /**< in all */
+	uint64_t prefix_hash;  /**< of the shared prefix, 0 for none */
+	int64_t shared_tokens; /**< length of the shared prefix */
+	int64_t prompt_tokens; /**< whole prompt */
 	bool divided;	       /**< the pool's requests have prompts */
-	bool paced;	       /**< belongs on the engines for paced streams */
-	double prefill_rate;   /**< prompt tokens an engine reads a second */
+	bool paced;	       /**< is a paced stream */
+	double prefill_rate;   /**< prompt tokens per second and engine */
 	const char *zone;      /**< own availability zone */
-	uint64_t tie_seed;     /**< chooses among servers that are as good */
-	const struct prefix_entry *prefix; /**< where we sent it, or NULL */
+	uint64_t tie_seed;     /**< seed of the draw among equal servers */
+	const struct prefix_entry *prefix; /**< known holders, or NULL */
 };
 
-/** Rank of a home: the highest is the home of that part. */
+/** Rendezvous hash: the server with the highest is the prefix's home. */
 uint64_t place_score(uint64_t prefix_hash, const struct backend *backend);
 
-/** Prompt tokens that the server would have to read. */
+/** Returns the number of prompt tokens that the server must prefill. */
 int64_t place_prefill_tokens(const struct place_query *query, bool holds);
 
 /**
- * What sending the request there costs, in seconds.
+ * Returns the cost of sending the request to a server, in seconds.
  *
- * @param home	the server is the part's home
+ * @param home	whether the server is the home of the prefix
  */
 double place_cost(const struct place_query *query,
 		  const struct backend *backend, bool home, int64_t now_us);
 
 /**
- * The member that should take the request, or NULL.
+ * Returns the member to send the request to, or NULL if none fits.
  *
- * @param fits	whether a member may take it at all
+ * @param fits	whether a member may take the request
  */
 struct backend *place_choose(const struct place_query *query,
 			     struct backend *const *members, int n,
--- a/libfilberthall/load/poison.h
+++ b/libfilberthall/load/poison.h
@@ -7,24 +7,25 @@
 #include "base/map.h"
 
 /**
- * Quarantine of requests that crash whatever runs them.
+ * Quarantine of requests that crash the engines that run them.
  *
- * Failure: one request crashes its engine, is retried on the next, crashes
- * that too, and its caller sends it again. Without quarantine a single
- * request takes a pool down server by server, with all that runs there.
+ * Failure: one request crashes its engine, is retried on the next, crashes that
+ * one too, and is then sent again by its caller. Without quarantine a single
+ * request takes down a pool server by server, with everything that runs there.
  *
- * A request is known by its fingerprint (organisation and hash of its body),
- * so the caller's resend is known again, also on another VM: crashes are
- * passed on over LINK_SHARE. One crash isn't proof: all others in the same
- * batch end with it. Two crashes of different servers are, and the third
- * server is never tried.
+ * A request is identified by its fingerprint (organisation and hash of the
+ * body), which also recognises the caller's resend, even on another VM: crashes
+ * are sent to the other VMs over LINK_SHARE. One crash proves nothing, as all
+ * other requests in the same batch end with it. After crashes of two different
+ * servers the request is never tried on a third.
  *
- * An innocent request can be in two crashes by bad luck. It is told apart by
- * time: a poison request crashes at the same point of its run each time. One
- * that had run long in its first server and had just started in the second
- * is only held back for half a minute, so that a resend soon works.
+ * A harmless request can be part of two crashes by coincidence. The run times
+ * distinguish the two: a poison request crashes at the same point of its run
+ * each time. A request that ran long on its first server and had just started
+ * on the second is held for only half a minute, so that a resend soon succeeds.
  *
- * The quarantine outlasts callers' own retries and lets an operator see it.
+ * The quarantine lasts longer than callers' retries, and an operator has time
+ * to see it.
  */
 #define POISON_ENTRIES 4096
 #define POISON_SUSPECT_US INT64_C(300000000)
@@ -34,7 +35,7 @@
 
 enum poison_verdict {
 	POISON_CLEAR,	/**< nothing known */
-	POISON_SUSPECT, /**< was in one crash: may run, apart from others */
+	POISON_SUSPECT, /**< in one crash: may run, isolated from others */
 	POISON_HELD	/**< in two crashes: must not run now */
 };
 
@@ -45,12 +46,12 @@
 void poison_init(struct poison *poison);
 void poison_clear(struct poison *poison);
 
-/** Fingerprint of a request; 0 if its body's hash is unknown. */
+/** Returns a request's fingerprint; 0 if its body's hash is unknown. */
 uint64_t poison_fingerprint(const char *organisation, const char *body_hash);
 
 /**
- * Note that a server crashed while it ran the request, `ran_us` after its
- * start. A crash of the same server is counted once.
+ * Records that a server crashed while it ran the request, `ran_us` after the
+ * request's start. Crashes of the same server count once.
  */
 enum poison_verdict poison_crashed(struct poison *poison, uint64_t fingerprint,
 				   uint64_t server, int64_t ran_us,
@@ -59,7 +60,7 @@
 enum poison_verdict poison_ask(struct poison *poison, uint64_t fingerprint,
 			       int64_t now_us);
 
-/** The request ran to its end: it crashes nothing. */
+/** Clears a request that ran to its end without a crash. */
 void poison_absolve(struct poison *poison, uint64_t fingerprint);
 
 #endif
--- a/libfilberthall/load/preempt.c
+++ b/libfilberthall/load/preempt.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* The pace is averaged over about this long. */
+/* Time constant of the moving average of the token rate. */
 #define PREEMPT_RATE_US 10e6
 
 bool preempt_allowed(const struct preempt_victim *victim, int tier)
@@ -37,7 +37,7 @@
 	budget->rate += (double)tokens * 1e6 / PREEMPT_RATE_US;
 	most = budget->rate * PREEMPT_SAVED_S;
 	budget->tokens += PREEMPT_LOSS_SHARE * (double)tokens;
-	/* A site that grows is given the savings of its new pace at once. */
+	/* When the limit grows with the rate, the budget grows as much. */
 	if (most > budget->most) {
 		budget->tokens += most - budget->most;
 		budget->most = most;
@@ -48,7 +48,7 @@
 
 bool preempt_spend(struct preempt_budget *budget, int64_t tokens)
 {
-	/* A start costs a prefill even if no token has come of it. */
+	/* An attempt has cost a prefill even if it has no tokens yet. */
 	double cost = 1 + (double)tokens;
 
 	if (budget->tokens < cost)
--- a/libfilberthall/load/preempt.h
+++ b/libfilberthall/load/preempt.h
@@ -5,70 +5,72 @@
 #include <stdint.h>
 
 /**
- * Which running attempt gives way to a waiting request of a higher tier.
+ * Choice of the running attempt to preempt for a waiting request of a higher
+ * tier.
  *
- * Load pattern: critiques that read a whole lookbook hold every slot for a
- * minute when a burst of captions arrives that has half a second. Waiting
- * for a slot to come free by itself misses every target.
+ * Load pattern: critiques of a whole lookbook occupy every slot for a minute
+ * when a burst of captions with a deadline of half a second arrives. Waiting
+ * for a slot to become free misses every deadline.
  *
- * Only of a lower tier than what takes the place, the lowest first, within
- * it the youngest: it has least work to lose. Never a non-idempotent one,
- * which could not be run again, nor one that its class's minimum share has
- * started, or the class would starve after all. Never in vain: not if slots
- * come free by themselves before the waiting request is due, and not so late
- * that the room would come after that.
+ * Only attempts of a lower tier than the waiting request are preempted, the
+ * lowest tier first and within it the youngest, which loses the least work.
+ * Excluded are requests that aren't idempotent, since they can't be run again,
+ * and those started by their class's minimum share, since the class would
+ * starve after all. Nothing is preempted if slots become free in time anyway,
+ * or if the slot would become free only after the waiting request is due.
  *
- * The work of a victim is lost but for what its caller has had, so one that
- * has less left to do than a victim's lost work costs is left to end.
+ * A victim's work is lost except for what its caller has received. An attempt
+ * whose remaining work is less than the cost of the lost work is left to end.
  */
 struct preempt_victim {
 	int tier;
 	bool idempotent;
-	bool by_floor; /**< runs by its class's minimum share */
-	bool usable; /**< its place is one that the waiting request can take */
+	bool by_floor; /**< started by its class's minimum share */
+	bool usable;   /**< the waiting request can use its slot */
 	int64_t started_us;
-	double done_share; /**< part of its expected work that is done */
+	double done_share; /**< fraction of its expected work that is done */
 };
 
 /**
- * What preemption may throw away: a two-hundredth of the tokens served, and
- * saved up, a second and a half of the fastest pace so far. Without this
- * bound a pool at its limit spends its time on work that is preempted again
- * and again. A burst of the top tier needs the savings. They are in seconds,
- * since a small site's would else be a greater part of what it serves.
+ * Budget of tokens that preemption may discard: 1/200 of the tokens served,
+ * accumulated up to 1.5 seconds of the highest token rate so far. Without this
+ * limit a saturated pool spends its time on work that is preempted again and
+ * again. The accumulated budget is for bursts of the top tier. Its limit is in
+ * seconds, because a fixed number of tokens would be a larger fraction of what
+ * a small site serves.
  */
 #define PREEMPT_LOSS_SHARE 0.005
 #define PREEMPT_SAVED_S 1.5
 
-/** What a VM that has served nothing yet may lose, tokens. */
+/** Budget of a VM that has served nothing yet, tokens. */
 #define PREEMPT_LEAST 200.0
 
 struct preempt_budget {
 	double tokens;
-	double most; /**< that can be saved up */
-	double rate; /**< tokens served a second, running average */
+	double most; /**< limit of `tokens` */
+	double rate; /**< tokens served per second, moving average */
 	int64_t noted_us;
 };
 
 void preempt_open(struct preempt_budget *budget);
 
-/** Tokens were served. */
+/** Adds to the budget for tokens that were served. */
 void preempt_earn(struct preempt_budget *budget, int64_t tokens,
 		  int64_t now_us);
 
-/** Whether a victim that has so many tokens may be lost; it is charged. */
+/** Takes a victim's tokens from the budget; false if it is too small. */
 bool preempt_spend(struct preempt_budget *budget, int64_t tokens);
 
-/** Past this part of its expected work an attempt is left to end. */
+/** An attempt past this fraction of its expected work isn't preempted. */
 #define PREEMPT_DONE_MOST 0.75
 
-/** Cancelling takes a round trip or two until the room is there. */
+/** Time to free a slot: a cancellation takes one or two round trips. */
 #define PREEMPT_FREE_US INT64_C(20000)
 
-/** Whether `victim` may give way to a request of tier `tier`. */
+/** Whether `victim` may be preempted for a request of tier `tier`. */
 bool preempt_allowed(const struct preempt_victim *victim, int tier);
 
-/** Whether `a` should give way before `b`. */
+/** Whether `a` should be preempted before `b`. */
 bool preempt_before(const struct preempt_victim *a,
 		    const struct preempt_victim *b);
 
--- a/libfilberthall/load/prefix.c
+++ b/libfilberthall/load/prefix.c
@@ -88,7 +88,7 @@
 	for (i = 0; i < PREFIX_HOLDERS - 1; i++)
 		if (entry->holders[i] == holder)
 			break;
-	/* The newest stands first; the last one is forgotten. */
+	/* Move the newest holder to the front; the last one is dropped. */
 	memmove(&entry->holders[1], &entry->holders[0],
 		(size_t)i * sizeof(entry->holders[0]));
 	entry->holders[0] = holder;
--- a/libfilberthall/load/prefix.h
+++ b/libfilberthall/load/prefix.h
@@ -7,17 +7,17 @@
 #include "base/map.h"
 
 /**
- * Hints of which backend servers hold which prompt prefix in their cache.
+ * Hints about which backend servers have which prompt prefix in their cache.
  *
- * Load pattern: a few long prompt openings shared by most requests (a
- * lookbook, a template). Sent where the prefix lies, a request skips most of
- * its prefill; spread blindly, each server computes every prefix anew and
- * pushes others out of its limited memory.
+ * Load pattern: most requests share a few long prompt prefixes (a lookbook, a
+ * template). A request that is sent to a server with its prefix skips most of
+ * the prefill. If requests are spread regardless, each server computes every
+ * prefix again and evicts others from its limited memory.
  *
- * Cache events come late and with gaps, so an entry is a hint and never a
- * promise. Own dispatches count too: a server will hold what it has just
- * been sent. The least recently used of 16,384 prefixes goes first: 1,000
- * engines hold some tens each.
+ * Cache events arrive late and some are lost, so an entry is only a hint. This
+ * VM's own dispatches also count, since a server will cache what it has just
+ * been sent. The least recently used of 16,384 prefixes is evicted first; 1,000
+ * engines hold a few tens each.
  */
 #define PREFIX_HOLDERS 4
 #define PREFIX_ENTRIES 16384
@@ -35,15 +35,15 @@
 void prefix_init(struct prefix *prefix);
 void prefix_clear(struct prefix *prefix);
 
-/** Note that a server holds a prefix, or no longer does. */
+/** Records that a server holds a prefix, or no longer does. */
 void prefix_note(struct prefix *prefix, uint64_t prefix_hash,
 		 const char *address, bool held);
 
-/** The servers that may hold it, by the hash of their address, or NULL. */
+/** Returns the hints for a prefix, or NULL if there are none. */
 const struct prefix_entry *prefix_find(const struct prefix *prefix,
 				       uint64_t prefix_hash);
 
-/** Whether the entry (or NULL) names that server. */
+/** Whether the entry lists that server; false if `entry` is NULL. */
 bool prefix_holds(const struct prefix_entry *entry, uint64_t address_hash);
 
 #endif
