--- a/libfilberthall/load/router_state.h
+++ b/libfilberthall/load/router_state.h
@@ -19,11 +19,11 @@
 #include "load/sched.h"
 
 /**
- * What the files router*.c share: the state of one router and the calls
- * between them. Nobody else includes this.
+ * Private declarations shared by the router*.c files: the state of a router and
+ * the functions they call in each other.
  */
 
-/** How often router_tick() has something to look at, at the latest. */
+/** Longest interval between two router_tick() calls. */
 #define ROUTER_TICK_US INT64_C(50000)
 
 /** A class of requests. Ids are reused after removal. */
@@ -31,8 +31,8 @@
 	struct map_node node; /**< by name */
 	struct class_rule rule;
 	int id;
-	bool removed;	    /**< kept only for what still runs */
-	int64_t n_requests; /**< that refer to it */
+	bool removed;	    /**< kept until its last request ends */
+	int64_t n_requests; /**< requests that refer to it */
 	int64_t waiting;
 	int64_t running;
 	struct list order; /**< waiting requests, oldest first */
@@ -47,7 +47,7 @@
 	struct quota quota;
 };
 
-/** Limits of one key; kept while it has requests or its bucket fills. */
+/** Limits of one key; kept while it has requests or its bucket refills. */
 struct key_use {
 	struct map_node node; /**< by key id */
 	char *id;
@@ -56,32 +56,32 @@
 	struct quota quota;
 };
 
-/** Requests that the same backend servers can take, waiting in order. */
+/** Waiting requests that the same backend servers can serve. */
 struct queue {
 	struct list in_pool;
 	struct pool *pool;
 	char *adapter; /**< or NULL */
 	bool reclaimable;
-	bool blocked; /**< no server had room, in the present pass */
+	bool blocked; /**< no server had room in this dispatch pass */
 	struct sched sched;
 };
 
-/** What is known of one tier's wait before one pool. */
+/** Waiting requests and pressure of one tier of one pool. */
 struct pressure {
 	int64_t waiting;
-	struct list order;	  /**< what waits, oldest first */
-	int64_t last_pressure_us; /**< when it last was pressed */
-	int64_t last_empty_us;	  /**< when its queue last was empty */
-	int64_t last_short_us;	  /**< when a short request last came */
+	struct list order;	  /**< waiting requests, oldest first */
+	int64_t last_pressure_us; /**< when it was last under pressure */
+	int64_t last_empty_us;	  /**< when its queue was last empty */
+	int64_t last_short_us;	  /**< when a short request was last enqueued */
 };
 
 /** How long a class's requests hold a slot of one pool. */
 struct class_time {
-	double mean_us; /**< running average, 0 while none has ended */
-	int64_t at_us;	/**< when one last ended */
+	double mean_us; /**< running average, 0 until one has ended */
+	int64_t at_us;	/**< when a request last ended */
 };
 
-/** The backend servers of one model or one service, and who waits. */
+/** The backend servers and queues of one model or one service. */
 struct pool {
 	struct map_node node; /**< by name */
 	char *name;	      /**< "m:MODEL" or "s:SERVICE" */
@@ -89,14 +89,15 @@
 	const char *service;  /**< part of name, or NULL */
 	struct backend **members;
 	int n_members;
-	int n_usable;		/**< members that take new work */
-	uint64_t fleet_version; /**< at which members was made */
+	int n_usable; /**< members that accept new requests */
+	uint64_t
+		fleet_version; /**< fleet version at which members was listed */
 	uint64_t fleet_removals;
-	int64_t listed_us;  /**< when that was */
+	int64_t listed_us;  /**< when members was listed */
 	double slots;	    /**< of usable members that aren't cheap */
-	double cheap_slots; /**< of usable cheap ones */
+	double cheap_slots; /**< of usable cheap members */
 	double load;	    /**< requests on all usable members */
-	int64_t counted_us; /**< when these were worked out */
+	int64_t counted_us; /**< when slots and load were computed */
 	int64_t usable_us;  /**< when a member was last usable */
 	struct list queues;
 	struct retry retry;
@@ -104,33 +105,33 @@
 	int64_t waiting_by_class[SCHED_CLASSES];
 	int64_t running_by_class[SCHED_CLASSES];
 	int64_t running_by_tier[SCHED_TIERS];
-	int64_t running; /**< without those on cheap servers */
+	int64_t running; /**< attempts, except those on cheap servers */
 	struct pressure pressure[SCHED_TIERS];
 	struct class_time times[SCHED_CLASSES];
 	struct divide divide;
-	double us_per_token; /**< mean time a unit of work holds a slot */
+	double us_per_token; /**< mean time in a slot per token of cost */
 	double mean_cost;
-	double mean_log_cost;  /**< of the logarithm: outliers weigh little */
+	double mean_log_cost; /**< of the logarithm, to limit the weight of outliers */
 	double first_token_us; /**< mean, from start of an attempt */
-	double mean_prompt;    /**< prompt tokens of a request */
-	double prefill_rate;   /**< prompt tokens an engine reads a second */
-	int64_t grant;	       /**< slots handed to this VM, -1 unbounded */
+	double mean_prompt;    /**< mean prompt tokens of a request */
+	double prefill_rate;   /**< prompt tokens per second of an engine */
+	int64_t grant;	       /**< slots granted to this VM, -1 if unlimited */
 	double own_from;       /**< this VM's part of each server, 0..1 */
 	double own_until;
 	int64_t n_samples;
-	int n_preempting;	  /**< cancelled for a higher tier, not ended */
-	int local_pressured_tier; /**< highest tier that waits here */
-	int global_pressured_tier; /**< the same over all VMs, as last heard */
+	int n_preempting;	  /**< preempted attempts that haven't ended */
+	int local_pressured_tier; /**< highest tier under pressure on this VM */
+	int global_pressured_tier; /**< the same over all VMs, by the last grant */
 	int64_t lower_closed_us[SCHED_TIERS]; /**< since when no lower tier gets
 					   more than its minimum, 0 if open */
 	struct list running_list;	      /**< attempts, oldest first */
 };
 
 enum request_state {
-	REQUEST_NEW, /**< not yet let in */
+	REQUEST_NEW, /**< not yet admitted */
 	REQUEST_WAITING,
 	REQUEST_RUNNING,
-	REQUEST_ENDED /**< answered; its attempts still end */
+	REQUEST_ENDED /**< answered; attempts may still be ending */
 };
 
 struct request;
@@ -142,14 +143,14 @@
 	int64_t number;
 	char address[BACKEND_NAME_SIZE];
 	int64_t started_us;
-	int64_t first_us;      /**< of its first token, 0 if none yet */
-	int64_t tokens;	       /**< passed on by this attempt */
-	int64_t base;	       /**< tokens the caller had before it */
+	int64_t first_us;      /**< time of its first token, 0 if none yet */
+	int64_t tokens;	       /**< generated by this attempt */
+	int64_t base;	       /**< tokens delivered to the caller before it */
 	int64_t prompt_tokens; /**< counted on the server until prefill */
 	double work;
 	bool is_long;
-	bool paced;    /**< by load/divide.h */
-	int64_t slots; /**< of its server */
+	bool paced;    /**< paced by load/divide.h */
+	int64_t slots; /**< slots of its server */
 	bool on_cheap; /**< on a server that may be reclaimed */
 	bool by_floor; /**< started by its class's minimum share */
 	bool sent;
@@ -164,7 +165,7 @@
 	int64_t timer_us;
 	struct list in_class;	    /**< while waiting */
 	struct list in_tier;	    /**< while waiting */
-	struct router_request spec; /**< its text is owned */
+	struct router_request spec; /**< its strings are owned */
 	enum request_state state;
 	struct router_class *class;
 	struct organisation *organisation;
@@ -173,26 +174,26 @@
 	uint64_t fingerprint;
 	int tier;
 	int64_t deadline_us;
-	int64_t target_us;	/**< first token due, 0 for none */
-	bool limits_charged;	/**< in the limits of organisation and key */
+	int64_t target_us;	/**< when the first token is due, 0 for none */
+	bool limits_charged;	/**< whether the limits were charged */
 	int64_t charged_tokens; /**< tokens charged to the limits */
 	int64_t estimate;	/**< output tokens */
 	bool is_long;
-	bool may_have_run; /**< a byte may have left */
+	bool may_have_run; /**< a byte may have been sent */
 	bool arrived;	   /**< an attempt reached a server */
-	int64_t hedge_us;  /**< not looked at for a hedge before then */
-	char avoid[BACKEND_NAME_SIZE]; /**< where it has failed */
+	int64_t hedge_us;  /**< no check for a hedge before this time */
+	char avoid[BACKEND_NAME_SIZE]; /**< server of the last failed attempt */
 	struct list attempts;
 	int n_attempts;
-	int n_rejected; /**< of them, those that surely didn't run */
+	int n_rejected; /**< attempts that certainly didn't run */
 	int64_t waiting_since_us;
-	int64_t delivered; /**< tokens that the caller has had */
+	int64_t delivered; /**< tokens delivered to the caller */
 	int64_t prompt_tokens;
 	int64_t wasted;
 	int64_t first_token_us;
-	int64_t piece_us; /**< when the last piece came */
-	int64_t pause_us; /**< longest between two pieces so far */
-	char address[BACKEND_NAME_SIZE]; /**< of the last attempt */
+	int64_t piece_us; /**< when the last chunk arrived */
+	int64_t pause_us; /**< longest gap between two chunks so far */
+	char address[BACKEND_NAME_SIZE]; /**< server of the last attempt */
 };
 
 struct router {
@@ -216,7 +217,7 @@
 	uint64_t last_organisation;
 	int64_t waiting;
 	int64_t open;	     /**< requests not yet answered */
-	int64_t compared_us; /**< when stragglers were last looked for */
+	int64_t compared_us; /**< when stragglers were last searched for */
 	bool draining;
 	struct router_peers *peers;
 };
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -6,27 +6,27 @@
 #include "base/alloc.h"
 #include "load/router_state.h"
 
-/* A prompt token costs an engine about this part of an output token. */
+/* Cost of a prompt token relative to an output token. */
 #define SUBMIT_PROMPT_COST 0.1
 
-/* Requests waiting on one VM, all classes: some 100 MB at the most. */
+/* Most waiting requests on one VM, all classes: up to about 100 MB. */
 #define SUBMIT_WAITING_MOST 100000
 
-/* Deadline of a class that names none. */
+/* Default deadline of a class. */
 #define SUBMIT_DEADLINE_US INT64_C(300000000)
 
-/* How long a pool may be without any usable server before it's given up. */
+/* Time without a usable server after which a pool's requests are refused. */
 #define SUBMIT_EMPTY_US INT64_C(10000000)
 
-/* Answers that a pool's pace must rest on before anything is refused by it. */
+/* Samples a pool needs before requests are refused by its estimates. */
 #define SUBMIT_MEASURED_LEAST 8
 
-/* Work this many times the (geometric) mean is long. */
+/* A request is long if its cost exceeds the geometric mean this many times. */
 #define SUBMIT_LONG_RATIO 4.0
 
 /*
- * Lower tiers have been closed on all VMs for so long before a request may
- * be shed: two rounds of shares, so that each VM has heard of it.
+ * Time for which lower tiers must have been closed before a request may be
+ * shed: four rounds of shares, so that all VMs have received the grants.
  */
 #define SUBMIT_CLOSED_US INT64_C(1000000)
 
@@ -53,7 +53,7 @@
 	return !strcmp(container_of(node, struct key_use, node)->id, key);
 }
 
-/* Limits of the key alone, which come with each request. */
+/* Find or add a key; its limits are part of each request. */
 static struct key_use *key_get(struct router *router,
 			       const struct router_request *ask, int64_t now_us)
 {
@@ -106,13 +106,13 @@
 		request->deadline_us =
 			arrived_us + (rule->deadline_us ? rule->deadline_us
 							: SUBMIT_DEADLINE_US);
-	/* A whole answer has no first token that its caller sees. */
+	/* Without streaming, the caller doesn't see the first token. */
 	request->target_us = 0;
 	if (request->spec.stream && rule->first_token_us)
 		request->target_us = arrived_us + rule->first_token_us;
 }
 
-/** Take the tier, targets and kind of server from the request's class. */
+/** Set tier, targets and server kind of a request by its class. */
 void request_apply_class(struct router *router, struct request *request)
 {
 	const struct class_rule *rule = &request->class->rule;
@@ -173,7 +173,7 @@
 			      SUBMIT_PROMPT_COST * (double)ask->prompt_tokens;
 }
 
-/** Time that the request needs once it is sent, as its class lately did. */
+/** Estimated time of an attempt, by recent requests of the class. */
 int64_t request_needs_us(const struct router *router,
 			 const struct request *request, int64_t now_us)
 {
@@ -183,7 +183,7 @@
 	return (int64_t)pool_class_us(pool, request->class->id, now_us);
 }
 
-/** When coming back may help: the expected wait, rounded up to a second. */
+/** Retry-After: the expected wait, rounded up to a second. */
 int64_t request_retry_after_ms(const struct router *router,
 			       const struct request *request)
 {
@@ -213,7 +213,7 @@
 	       now_us - pool->lower_closed_us[tier] >= SUBMIT_CLOSED_US;
 }
 
-/* The deadline can't be met, or in a queue that stands, the target. */
+/* Whether the deadline, or in a standing queue the target, will be missed. */
 static bool request_is_late(const struct router *router,
 			    const struct request *request, int64_t now_us)
 {
@@ -221,7 +221,7 @@
 	int64_t wait_us = (int64_t)pool_wait_us(router, pool, request);
 	int64_t first_us = (int64_t)pool->first_token_us;
 
-	/* Nothing is refused on a guess. */
+	/* The initial estimates are no reason to refuse a request. */
 	if (pool->n_samples < SUBMIT_MEASURED_LEAST)
 		return false;
 
@@ -233,7 +233,7 @@
 	       now_us + wait_us + first_us > request->target_us;
 }
 
-/** Put a request among those that wait. */
+/** Add a request to its queue. */
 void request_enqueue(struct router *router, struct request *request,
 		     int64_t now_us)
 {
@@ -264,7 +264,7 @@
 	request_update_timer(router, request, now_us);
 }
 
-/** Take a request out of those that wait. */
+/** Remove a request from its queue. */
 void request_dequeue(struct router *router, struct request *request)
 {
 	struct pool *pool = request->queue->pool;
@@ -284,8 +284,8 @@
 }
 
 /*
- * The class's queue is full: the organisation that has most of it gives way,
- * if that isn't the one that asks.
+ * If the class's queue is full, evict the newest request of the organisation
+ * with the most entries, unless that is the new request's organisation.
  */
 static struct request *class_victim(const struct request *request)
 {
@@ -298,7 +298,7 @@
 	return entry_request(entry);
 }
 
-/* The newest of the lowest tier, if that is below the request's own. */
+/* The newest request of the lowest tier, if that is below the request's tier. */
 static struct request *lowest_victim(const struct router *router,
 				     const struct request *request)
 {
@@ -319,7 +319,7 @@
 	return list_last(&worst->order, struct request, in_class);
 }
 
-/* Make room in the queues; false if the request itself has to go. */
+/* Make room in the queues; false if the new request must be refused. */
 static bool router_make_room(struct router *router, struct request *request,
 			     int64_t now_us, struct effects *effects)
 {
@@ -366,7 +366,7 @@
 	return RESULT_OK;
 }
 
-/* No server of the model or service is known, or none for too long. */
+/* Whether the pool has no server, or had no usable server for too long. */
 static enum result pool_missing(const struct router *router,
 				const struct pool *pool, bool reclaimable,
 				int64_t now_us)
@@ -416,7 +416,7 @@
 	return RESULT_OK;
 }
 
-/* A class that isn't known has no request to keep: only the answer. */
+/* Refuse a request of an unknown class; no struct request is created. */
 static void refuse_unknown(struct router *router,
 			   const struct router_request *ask, int64_t now_us,
 			   struct effects *effects)
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -2,26 +2,26 @@
 
 #include "load/router_state.h"
 
-/* How often stragglers are looked for. */
+/* Interval of the search for stragglers. */
 #define TIME_COMPARE_US INT64_C(1000000)
 
-/* How often a waiting request past its target is looked at again. */
+/* Interval at which a waiting request past its target is checked. */
 #define TIME_LOOK_US INT64_C(250000)
 
-/* An attempt without a first token for so many times the mean is hedged. */
+/* An attempt is hedged after this many times the mean time to first token. */
 #define TIME_HEDGE_RATIO 4.0
 #define TIME_HEDGE_LEAST_US 3000000.0
 
-/* An overdue attempt is looked at again after so long. */
+/* Interval at which an overdue attempt is checked again. */
 #define TIME_HEDGE_AGAIN_US INT64_C(500000)
 
-/* A key's bucket is full again after so long without a request. */
+/* Unused keys are removed after this time, when their bucket is full. */
 #define TIME_KEY_IDLE_US INT64_C(600000000)
 
 /*
- * A class's deadline is a target, and a caller who is being answered past it
- * goes on reading; but at twice the deadline it ends. A deadline that the
- * caller named is an end.
+ * A class's deadline is a target: an answer that has begun continues past it
+ * but is ended at twice the deadline. A deadline that the caller set is always
+ * enforced.
  */
 static int64_t request_end_us(const struct request *request)
 {
@@ -49,7 +49,7 @@
 						 : request->hedge_us;
 }
 
-/** Set the request's timer to what may happen to it next. */
+/** Set the request's timer to its next possible event. */
 void request_update_timer(struct router *router, struct request *request,
 			  int64_t now_us)
 {
@@ -67,7 +67,7 @@
 	request_set_timer(router, request, at_us);
 }
 
-/* Another server has room for it beside those that wait. */
+/* Whether the pool has a free slot that no waiting request needs. */
 static bool hedge_has_room(const struct router *router,
 			   const struct request *request)
 {
@@ -77,7 +77,7 @@
 	       (double)pool->running < pool_own_slots(router, pool);
 }
 
-/* Nobody has had a token of the server lately, or it is a straggler. */
+/* Whether the server is a straggler or has recently sent no token at all. */
 static bool server_is_suspect(const struct router *router,
 			      const struct attempt *attempt, int64_t now_us)
 {
@@ -90,11 +90,12 @@
 }
 
 /*
- * The first token is long overdue: the server has lost the request, is silent
- * or a straggler. It is cancelled and sent to another one; the edge can't
- * join two answers, so the two never run side by side for the caller. On a
- * server that serves others well the request waits for its prefill, and to
- * start that anew elsewhere would only add to the queues.
+ * The first token is long overdue: the server has lost the request, doesn't
+ * respond or is a straggler. The attempt is cancelled and the request is sent
+ * to another server; the edge can't merge two answers, so two attempts never
+ * run at once for a caller. On a server that serves other requests normally,
+ * the request waits for its prefill, and restarting it on another server
+ * would only add load.
  */
 static void request_hedge(struct router *router, struct request *request,
 			  int64_t now_us, struct effects *effects)
--- a/libfilberthall/load/router_view.c
+++ b/libfilberthall/load/router_view.c
@@ -8,7 +8,7 @@
 				 pool->waiting_by_class[class->id]);
 	int tier = class->rule.tier;
 
-	/* Steps below an operator's last tier count as that one. */
+	/* Scheduler tiers below the last tier of the rules count as that tier. */
 	view->by_tier[tier < RULE_TIERS ? tier : RULE_TIERS - 1] += demand;
 	if (class->rule.reclaimable)
 		view->reclaimable += demand;
--- a/libfilberthall/load/sched.c
+++ b/libfilberthall/load/sched.c
@@ -5,19 +5,19 @@
 
 #include "base/alloc.h"
 
-/* What one organisation has waiting in one tier. */
+/* Waiting entries of one organisation in one tier. */
 struct sched_flow {
 	struct map_node by_key;
 	struct heap_node node; /* in the tier's heap while n > 0 */
 	struct list lanes;
 	uint64_t organisation;
 	int tier;
-	double time; /* virtual start of its next service */
+	double time; /* virtual start time of its next entry */
 	size_t n;
 	double cost;
 };
 
-/* What one organisation has waiting in one class. */
+/* Waiting entries of one organisation in one class. */
 struct sched_lane {
 	struct list in_flow;
 	struct sched_flow *flow;
@@ -184,7 +184,7 @@
 	}
 }
 
-/* A flow or lane that was idle can't claim the time it didn't use. */
+/* An idle flow or lane accumulates no credit: advance its virtual time. */
 static void flow_wake(struct sched *sched, struct sched_flow *flow)
 {
 	struct sched_tier *tier = &sched->tiers[flow->tier];
--- a/libfilberthall/load/sched.h
+++ b/libfilberthall/load/sched.h
@@ -9,30 +9,31 @@
 #include "load/heap.h"
 
 /**
- * Order of service among the requests that wait for one kind of backend
- * server: tiers strictly, within a tier organisations by the work that they
- * have had (start-time fair queueing), within an organisation by due time.
+ * Scheduling order of the requests that wait for one kind of backend server:
+ * strict priority of tiers, within a tier organisations by the work they have
+ * received (start-time fair queueing), within an organisation by due time.
  *
  * Load pattern: one organisation, or one class, sends ten times what the
- * servers can do. In arrival order everybody then waits behind the burst:
- * the top tier misses its targets, and organisations that send little are
- * served in proportion to how little they send.
+ * servers can process. In arrival order all others then wait behind the burst:
+ * the top tier misses its targets, and organisations that send few requests
+ * get only a small part of the capacity.
  *
  * Fairness is by estimated work (tokens), not by requests, as one long
- * critique costs as much as fifty captions; sched_settle() trues the
- * estimate up when the answer has ended. An organisation that was idle
- * starts at the present virtual time: it can't save up claims.
+ * critique costs as much as fifty captions; sched_settle()
+ * corrects the estimate when the answer has ended. An organisation that was
+ * idle starts at the current virtual time and accumulates no credit.
  *
  * Every operation is O(log n) in organisations and in requests of one
  * organisation, whatever else waits.
  *
- * Minimum shares of classes are load/floor.h; it asks for the head of one
- * class.
+ * Minimum shares of classes are implemented in load/floor.h, by means of
+ * sched_next_of_class().
  */
 
 /**
- * Steps of urgency, 0 first. Operators' classes use the first four; an entry
- * VM puts an organisation's rank before the route's, four by four.
+ * Priority levels; 0 is served first. The classes of operators use the first
+ * four; an entry VM combines the ranks of organisation and route, four each,
+ * with the organisation's first.
  */
 #define SCHED_TIERS 16
 #define SCHED_CLASSES 256 /**< ids of classes are below this */
@@ -43,7 +44,7 @@
 /** A waiting request; part of the caller's struct. */
 struct sched_entry {
 	struct heap_node node;
-	struct list order;	 /**< of arrival, within the lane */
+	struct list order;	 /**< arrival order within the lane */
 	struct sched_lane *lane; /**< NULL while not waiting */
 	uint64_t organisation;
 	int64_t due_us;
@@ -53,9 +54,9 @@
 
 struct sched_tier {
 	struct heap flows;
-	double time; /**< virtual */
+	double time; /**< virtual time */
 	size_t n;
-	double cost; /**< of all that waits */
+	double cost; /**< total cost of waiting entries */
 };
 
 struct sched_class {
@@ -76,38 +77,38 @@
 
 void sched_init(struct sched *sched);
 
-/** Free own memory; entries still waiting belong to the caller. */
+/** Free the scheduler's memory; waiting entries belong to the caller. */
 void sched_clear(struct sched *sched);
 
-/** Put a class into a tier; what waits in it moves along. */
+/** Assign a class to a tier; its waiting entries move to that tier. */
 void sched_set_class(struct sched *sched, int class_id, int tier);
 
-/** Let an entry wait; due_us, sequence and cost are set by the caller. */
+/** Enqueue an entry; the caller has set due_us, sequence and cost. */
 void sched_push(struct sched *sched, struct sched_entry *entry, int class_id,
 		uint64_t organisation);
 
-/** Take an entry out without serving it; harmless if it doesn't wait. */
+/** Remove an entry without serving it; no effect if it isn't waiting. */
 void sched_remove(struct sched *sched, struct sched_entry *entry);
 
-/** The next to be served of all tiers up to `lowest_tier`, or NULL. */
+/** The next entry of tiers 0 to `lowest_tier`, or NULL. */
 struct sched_entry *sched_next(const struct sched *sched, int lowest_tier);
 
-/** The next to be served of one class, or NULL. */
+/** The next entry of one class, or NULL. */
 struct sched_entry *sched_next_of_class(const struct sched *sched,
 					int class_id);
 
-/** Serve an entry: take it out and charge its organisation. */
+/** Serve an entry: remove it and charge its organisation. */
 void sched_serve(struct sched *sched, struct sched_entry *entry);
 
-/** True up what an organisation was charged by `delta` tokens. */
+/** Correct the charge of an organisation by `delta` tokens. */
 void sched_settle(struct sched *sched, uint64_t organisation, int tier,
 		  double delta);
 
-/** The newest entry of the organisation with most entries in a class. */
+/** The newest entry of the organisation with the most entries in a class. */
 struct sched_entry *sched_newest_of_longest(const struct sched *sched,
 					    int class_id);
 
-/** Entries that the same organisation has waiting in the entry's class. */
+/** Number of waiting entries of the entry's organisation and class. */
 size_t sched_lane_length(const struct sched_entry *entry);
 
 /** Class and tier of a waiting entry. */
@@ -115,17 +116,17 @@
 int sched_tier_of(const struct sched_entry *entry);
 
 /**
- * Estimated work that a new request of this organisation would wait for:
- * all of the higher tiers, and of its own tier no more of each organisation
- * than of its own.
+ * Estimated work ahead of a new request of this organisation: all work of the
+ * higher tiers, and in its own tier at most as much of each other organisation
+ * as of its own.
  */
 double sched_work_ahead(const struct sched *sched, uint64_t organisation,
 			int tier, double cost);
 
-/** Estimated work that waits in a class. */
+/** Estimated work of the waiting entries of a class. */
 double sched_class_work(const struct sched *sched, int class_id);
 
-/** Forget an organisation that has nothing waiting. */
+/** Remove the state of an organisation without waiting entries. */
 void sched_forget(struct sched *sched, uint64_t organisation);
 
 #endif
--- a/libfilberthall/load/share.c
+++ b/libfilberthall/load/share.c
@@ -205,7 +205,7 @@
 	return slots;
 }
 
-/* The highest tier that is pressed on any daemon that is heard. */
+/* The highest tier under pressure on any member that isn't stale. */
 static void update_pool_pressure(const struct share *share,
 				 struct share_pool *pool, int64_t now_us)
 {
@@ -244,8 +244,8 @@
 }
 
 /*
- * A daemon that isn't heard takes the equal part by itself; the others must
- * not be given it. Returns what is left for those that are heard.
+ * A stale member falls back to its equal part, which must not be granted to
+ * others. Returns what is left for the live members.
  */
 static int64_t total_without_stale(const struct share *share,
 				   const struct share_live_members *list,
--- a/libfilberthall/load/share_limit.c
+++ b/libfilberthall/load/share_limit.c
@@ -46,9 +46,9 @@
 }
 
 /*
- * Only daemons that use an organisation report it. One that doesn't keeps the
- * part it was last told, or the fallback if it never was; this is taken off
- * before the others divide the rest.
+ * Only daemons with requests of an organisation report it. Any other daemon
+ * keeps the part it was last granted, or the fallback if it never was granted
+ * one; these parts are subtracted before the rest is divided.
  */
 static void limit_begin_round(const struct share *share,
 			      const struct share_limit *limit,
@@ -83,9 +83,10 @@
 }
 
 /*
- * Rates: half in equal parts, so that a daemon with little demand can let the
- * next request in, half by demand. Places: what is in use stays, the rest by
- * demand, what is left in equal parts.
+ * Rates are divided half in equal parts, so that a daemon with little demand
+ * can admit its next request, and half by demand. Of the concurrency limit,
+ * each daemon keeps what it uses; the rest is divided by demand and then in
+ * equal parts.
  */
 static void allocate_limit(struct share *share, struct share_limit *limit,
 			   int64_t now_us)
--- a/libfilberthall/load/share_message.c
+++ b/libfilberthall/load/share_message.c
@@ -97,7 +97,7 @@
 	return out;
 }
 
-/* Walks over a row; `bad` stays set after the first misfit. */
+/* Iterator over a row; `bad` stays set after the first invalid field. */
 struct row {
 	const msgpack_object_array *array;
 	uint32_t at;
--- a/libfilberthall/load/share_message.h
+++ b/libfilberthall/load/share_message.h
@@ -24,7 +24,7 @@
 	int64_t ran_us;
 };
 
-/** A message being built: two lists of rows. */
+/** A message under construction: two lists of rows. */
 struct share_writer {
 	struct bytes first;
 	struct bytes second;
@@ -41,12 +41,12 @@
 void share_write_limit_grant(struct share_writer *writer,
 			     const struct share_limit_grant *part);
 
-/** Put the message together; the writer is empty afterwards. */
+/** Encode the message and reset the writer. */
 struct bytes share_write_end(struct share_writer *writer, enum share_kind kind);
 
 struct bytes share_write_crash(const struct share_crash *crash);
 
-/** What to do with what a message holds; unused ones may be NULL. */
+/** Callbacks for the parts of a message; each may be NULL. */
 struct share_reader {
 	void (*message)(void *data, enum share_kind kind);
 	void (*demand)(void *data, const struct share_demand *demand);
--- a/libfilberthall/load/share_state.h
+++ b/libfilberthall/load/share_state.h
@@ -3,19 +3,19 @@
 
 #include "load/share.h"
 
-/** What share.c and share_limit.c have in common. Nobody else includes it. */
+/** Private declarations shared by share.c and share_limit.c. */
 
 /** One member's row in a pool's or an organisation's table. */
 struct share_row {
 	bool reported;
-	bool fresh;   /* reported since the last round of limits */
-	bool updated; /* its part was worked out in this round */
+	bool fresh;   /* reported since the limits were last divided */
+	bool updated; /* its part was computed in this round */
 	double demand[SCHED_TIERS]; /* running mean */
 	int64_t pressured_tier;
 	int64_t slots;
 	int64_t grant;
 	int64_t concurrent;
-	double recent_requests; /* running sum, fading by half a round */
+	double recent_requests; /* running sum, halved at each report */
 	double rate_fraction;
 };
 
@@ -42,7 +42,7 @@
 	int64_t round;
 };
 
-/** Daemons that are heard, by index, and what the others fall back to. */
+/** Members whose reports aren't stale, with their demands and parts. */
 struct share_live_members {
 	int *index;
 	int64_t *demands;
