--- a/libfilberthall/load/preempt.c
+++ b/libfilberthall/load/preempt.c
@@ -8,7 +8,7 @@
 bool preempt_allowed(const struct preempt_victim *victim, int tier)
 {
 	return victim->tier > tier && victim->idempotent && victim->usable &&
-	       !victim->by_floor && victim->done_share < PREEMPT_DONE_MOST;
+	       !victim->by_floor && victim->done_share < PREEMPT_MAX_DONE_SHARE;
 }
 
 bool preempt_before(const struct preempt_victim *a,
@@ -19,31 +19,31 @@
 	return a->started_us > b->started_us;
 }
 
-void preempt_open(struct preempt_budget *budget)
+void preempt_init(struct preempt_budget *budget)
 {
-	*budget = (struct preempt_budget){ .tokens = PREEMPT_LEAST,
-					   .most = PREEMPT_LEAST };
+	*budget = (struct preempt_budget){ .tokens = PREEMPT_MIN_BUDGET,
+					   .max_tokens = PREEMPT_MIN_BUDGET };
 }
 
 void preempt_earn(struct preempt_budget *budget, int64_t tokens, int64_t now_us)
 {
 	double elapsed_us = (double)(now_us - budget->noted_us);
-	double most;
+	double max_tokens;
 
 	if (elapsed_us > 0) {
 		budget->rate *= exp(-elapsed_us / PREEMPT_RATE_US);
 		budget->noted_us = now_us;
 	}
 	budget->rate += (double)tokens * 1e6 / PREEMPT_RATE_US;
-	most = budget->rate * PREEMPT_SAVED_S;
+	max_tokens = budget->rate * PREEMPT_SAVED_S;
 	budget->tokens += PREEMPT_LOSS_SHARE * (double)tokens;
 	/* When the limit grows with the rate, the budget grows as much. */
-	if (most > budget->most) {
-		budget->tokens += most - budget->most;
-		budget->most = most;
+	if (max_tokens > budget->max_tokens) {
+		budget->tokens += max_tokens - budget->max_tokens;
+		budget->max_tokens = max_tokens;
 	}
-	if (budget->tokens > budget->most)
-		budget->tokens = budget->most;
+	if (budget->tokens > budget->max_tokens)
+		budget->tokens = budget->max_tokens;
 }
 
 bool preempt_spend(struct preempt_budget *budget, int64_t tokens)
--- a/libfilberthall/load/preempt.h
+++ b/libfilberthall/load/preempt.h
@@ -43,16 +43,16 @@
 #define PREEMPT_SAVED_S 1.5
 
 /** Budget of a VM that has served nothing yet, tokens. */
-#define PREEMPT_LEAST 200.0
+#define PREEMPT_MIN_BUDGET 200.0
 
 struct preempt_budget {
 	double tokens;
-	double most; /**< limit of `tokens` */
-	double rate; /**< tokens served per second, moving average */
+	double max_tokens; /**< limit of `tokens` */
+	double rate;	   /**< tokens served per second, moving average */
 	int64_t noted_us;
 };
 
-void preempt_open(struct preempt_budget *budget);
+void preempt_init(struct preempt_budget *budget);
 
 /** Adds to the budget for tokens that were served. */
 void preempt_earn(struct preempt_budget *budget, int64_t tokens,
@@ -62,10 +62,10 @@
 bool preempt_spend(struct preempt_budget *budget, int64_t tokens);
 
 /** An attempt past this fraction of its expected work isn't preempted. */
-#define PREEMPT_DONE_MOST 0.75
+#define PREEMPT_MAX_DONE_SHARE 0.75
 
 /** Time to free a slot: a cancellation takes one or two round trips. */
-#define PREEMPT_FREE_US INT64_C(20000)
+#define PREEMPT_CANCEL_US INT64_C(20000)
 
 /** Whether `victim` may be preempted for a request of tier `tier`. */
 bool preempt_allowed(const struct preempt_victim *victim, int tier);
--- a/libfilberthall/load/router.c
+++ b/libfilberthall/load/router.c
@@ -64,7 +64,7 @@
 	length_init(&router->length);
 	prefix_init(&router->prefix);
 	poison_init(&router->poison);
-	preempt_open(&router->preempt);
+	preempt_init(&router->preempt);
 	router->pick = (struct pick_options){
 		.homes = options->features.homes,
 		.two_choices = options->features.two_choices,
--- a/libfilberthall/load/router_preempt.c
+++ b/libfilberthall/load/router_preempt.c
@@ -82,7 +82,7 @@
 	double hold_us = pool->us_per_token * pool->mean_cost;
 	double running = pool->running > 0 ? (double)pool->running : 1;
 	double left_us = (double)(first->entry.due_us - now_us) -
-			 pool->first_token_us - (double)PREEMPT_FREE_US;
+			 pool->first_token_us - (double)PREEMPT_CANCEL_US;
 	double waiting = (double)pool->pressure[first->tier].waiting;
 	double by_itself;
 
