--- a/libfilberthall/load/length.c
+++ b/libfilberthall/load/length.c
@@ -108,8 +108,8 @@
 	entry->since_fade = 0;
 }
 
-void length_note(struct length *length, const char *class_name,
-		 const char *model, int64_t tokens)
+void length_record(struct length *length, const char *class_name,
+		   const char *model, int64_t tokens)
 {
 	struct length_entry *entry = length_find(length, class_name, model);
 
--- a/libfilberthall/load/length.h
+++ b/libfilberthall/load/length.h
@@ -30,8 +30,8 @@
 void length_clear(struct length *length);
 
 /** Records the length of an answer that ended without being cut off. */
-void length_note(struct length *length, const char *class_name,
-		 const char *model, int64_t tokens);
+void length_record(struct length *length, const char *class_name,
+		   const char *model, int64_t tokens);
 
 /**
  * Returns the given quantile (0 to 1) of the output length in tokens, among
--- a/libfilberthall/load/poison.c
+++ b/libfilberthall/load/poison.c
@@ -108,8 +108,8 @@
 	return POISON_HELD;
 }
 
-enum poison_verdict poison_ask(struct poison *poison, uint64_t fingerprint,
-			       int64_t now_us)
+enum poison_verdict poison_check(struct poison *poison, uint64_t fingerprint,
+				 int64_t now_us)
 {
 	const struct poison_entry *entry;
 
@@ -121,7 +121,7 @@
 	return entry->held ? POISON_HELD : POISON_SUSPECT;
 }
 
-void poison_absolve(struct poison *poison, uint64_t fingerprint)
+void poison_forget(struct poison *poison, uint64_t fingerprint)
 {
 	struct map_node *node;
 
--- a/libfilberthall/load/poison.h
+++ b/libfilberthall/load/poison.h
@@ -57,10 +57,10 @@
 				   uint64_t server, int64_t ran_us,
 				   int64_t now_us);
 
-enum poison_verdict poison_ask(struct poison *poison, uint64_t fingerprint,
-			       int64_t now_us);
+enum poison_verdict poison_check(struct poison *poison, uint64_t fingerprint,
+				 int64_t now_us);
 
 /** Clears a request that ran to its end without a crash. */
-void poison_absolve(struct poison *poison, uint64_t fingerprint);
+void poison_forget(struct poison *poison, uint64_t fingerprint);
 
 #endif
--- a/libfilberthall/load/prefix.c
+++ b/libfilberthall/load/prefix.c
@@ -69,8 +69,8 @@
 	return entry;
 }
 
-void prefix_note(struct prefix *prefix, uint64_t prefix_hash,
-		 const char *address, bool held)
+void prefix_record(struct prefix *prefix, uint64_t prefix_hash,
+		   const char *address, bool held)
 {
 	uint64_t holder = map_hash_text(address);
 	struct prefix_entry *entry;
--- a/libfilberthall/load/prefix.h
+++ b/libfilberthall/load/prefix.h
@@ -36,8 +36,8 @@
 void prefix_clear(struct prefix *prefix);
 
 /** Records that a server holds a prefix, or no longer does. */
-void prefix_note(struct prefix *prefix, uint64_t prefix_hash,
-		 const char *address, bool held);
+void prefix_record(struct prefix *prefix, uint64_t prefix_hash,
+		   const char *address, bool held);
 
 /** Returns the hints for a prefix, or NULL if there are none. */
 const struct prefix_entry *prefix_find(const struct prefix *prefix,
--- a/libfilberthall/load/router.c
+++ b/libfilberthall/load/router.c
@@ -368,8 +368,8 @@
 {
 	(void)now_us;
 	if (cache->address)
-		prefix_note(&router->prefix, cache->prefix_hash, cache->address,
-			    cache->held);
+		prefix_record(&router->prefix, cache->prefix_hash,
+			      cache->address, cache->held);
 }
 
 /* What may run twice moves on; the rest may still end by itself. */
--- a/libfilberthall/load/router_attempt.c
+++ b/libfilberthall/load/router_attempt.c
@@ -127,8 +127,8 @@
 	}
 	backend_started(backend, attempt->prompt_tokens, attempt->work,
 			attempt->is_long, now_us);
-	prefix_note(&router->prefix, request->spec.prefix_hash,
-		    backend->address, true);
+	prefix_record(&router->prefix, request->spec.prefix_hash,
+		      backend->address, true);
 	list_append(&request->attempts, &attempt->in_request);
 	list_append(&pool->running_list, &attempt->in_pool);
 	pool_count_attempt(attempt, pool, 1);
@@ -365,7 +365,7 @@
 				     true_cost - request->entry.cost);
 	}
 	preempt_earn(&router->preempt, tokens, now_us);
-	poison_absolve(&router->poison, request->fingerprint);
+	poison_forget(&router->poison, request->fingerprint);
 	request_end(router, request, RESULT_OK, ended, now_us, effects);
 }
 
--- a/libfilberthall/load/router_end.c
+++ b/libfilberthall/load/router_end.c
@@ -164,8 +164,8 @@
 		request->prompt_tokens + request->delivered + request->wasted;
 
 	if (code == RESULT_OK && request->spec.model)
-		length_note(&router->length, request->spec.class_name,
-			    request->spec.model, request->delivered);
+		length_record(&router->length, request->spec.class_name,
+			      request->spec.model, request->delivered);
 	if (!request->limits_charged)
 		return;
 	if (request->n_attempts)
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -393,7 +393,7 @@
 
 	if (router->draining)
 		return RESULT_STOPPING;
-	if (poison_ask(&router->poison, request->fingerprint, now_us) ==
+	if (poison_check(&router->poison, request->fingerprint, now_us) ==
 	    POISON_HELD)
 		return RESULT_POISON;
 	pool_refresh(router, pool, now_us);
