--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -44,8 +44,8 @@
 struct caller_request {
 	struct map_node node; /**< core.requests, by id */
 	struct list
-		claim_waiters_node; /**< core.claim_waiters, until its claim is granted */
-	struct event *event; /**< EVENT_REQUEST, owned */
+		claim_waiters_node; /**< core.claim_waiters, until claimed */
+	struct event *event;	    /**< EVENT_REQUEST, owned */
 	enum request_state state;
 	char *key_id;
 	char *organisation;
--- a/libfilberthall/core/peers.c
+++ b/libfilberthall/core/peers.c
@@ -190,7 +190,7 @@
 	peers_close_removed(core, members);
 }
 
-/* A peer that holds a copy of the usage counters, if possible in another zone. */
+/* Peer that stores a copy of the usage counters, preferably in another zone. */
 static uint64_t peers_usage_replica(const struct core *core)
 {
 	uint64_t any = 0;
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -1,11 +1,11 @@
 /*
- * Callers' requests: authenticates and authorises the caller, opens a claim
- * for a call that may not be repeated, and submits the request to the router.
- * A disconnected VM doesn't receive withdrawals of keys, so it refuses all
- * requests once its state is older than the staleness bound. A caller without an answer may
- * send a non-repeatable call again through another VM. Its claim is therefore
- * committed to the log before anything is sent, and the second request finds
- * it.
+ * Callers' requests: authenticates and authorises the caller, opens a claim for
+ * a call that may not be repeated, and submits the request to the router. A
+ * disconnected VM doesn't receive withdrawals of keys, so it refuses all
+ * requests once its state is older than the staleness bound. A caller without
+ * an answer may send a non-repeatable call again through another VM. Its claim
+ * is therefore committed to the log before anything is sent, and the second
+ * request finds it.
  */
 #include <stdlib.h>
 #include <string.h>
