--- a/libfilberthall/control/control_fleet.c
+++ b/libfilberthall/control/control_fleet.c
@@ -138,8 +138,8 @@
 {
 	const struct service_scaling *scaling = &service->scaling;
 	struct sizing sizing = {
-		.least = scaling->least,
-		.most = scaling->most,
+		.min_servers = scaling->least,
+		.max_servers = scaling->most,
 		.has_cheap = scaling->cheap_price > 0,
 		.n_zones = scaling->n_zones < SIZING_ZONES ? scaling->n_zones
 							   : SIZING_ZONES,
--- a/libfilberthall/fleet/registry.c
+++ b/libfilberthall/fleet/registry.c
@@ -123,40 +123,40 @@
 }
 
 enum registry_outcome registry_update(struct registry *registry,
-				      const struct registration *told,
+				      const struct registration *update,
 				      int64_t heard_us,
 				      struct registry_entry **replaced)
 {
-	struct registry_entry *known = registry_find(registry, told->id);
+	struct registry_entry *known = registry_find(registry, update->id);
 	struct registry_entry *holder =
-		registry_find_address(registry, told->address);
+		registry_find_address(registry, update->address);
 	bool news;
 
 	*replaced = NULL;
-	if (known && is_stale(known, told))
+	if (known && is_stale(known, update))
 		return REGISTRY_STALE;
 	if (holder == known)
 		holder = NULL;
 	/* A delayed message of a start whose address a newer one has. */
-	if (holder && !told->gone &&
-	    told->started_ms < holder->registration.started_ms)
+	if (holder && !update->gone &&
+	    update->started_ms < holder->registration.started_ms)
 		return REGISTRY_STALE;
 	news = !known || known->timed_out ||
-	       is_news(&known->registration, told);
+	       is_news(&known->registration, update);
 	if (!known) {
 		known = xcalloc(1, sizeof(*known));
-		memcpy(known->registration.id, told->id, sizeof(told->id));
+		memcpy(known->registration.id, update->id, sizeof(update->id));
 		known->last_contact_us = heard_us;
 		map_insert(&registry->by_id, &known->node,
-			   map_hash_text(told->id));
+			   map_hash_text(update->id));
 	}
-	if (holder && !told->gone) {
+	if (holder && !update->gone) {
 		set_gone(registry, holder);
 		*replaced = holder;
 	}
 	unindex(registry, known);
-	known->registration = *told;
-	if (!told->gone)
+	known->registration = *update;
+	if (!update->gone)
 		place(registry, known);
 	note_heard(registry, known, heard_us);
 	return news ? REGISTRY_CHANGED : REGISTRY_REFRESHED;
--- a/libfilberthall/fleet/sizing.c
+++ b/libfilberthall/fleet/sizing.c
@@ -14,7 +14,7 @@
 
 static int64_t part(const struct sizing *sizing, double of_all)
 {
-	return (int64_t)ceil(of_all * (double)sizing->most *
+	return (int64_t)ceil(of_all * (double)sizing->max_servers *
 			     (double)sizing->n_zones);
 }
 
@@ -22,7 +22,7 @@
 static int64_t room_for_steady(const struct sizing *sizing,
 			       const struct sizing_zone *zone)
 {
-	int64_t room = sizing->most - zone->cheap;
+	int64_t room = sizing->max_servers - zone->cheap;
 
 	return room > 0 ? room : 0;
 }
@@ -34,8 +34,8 @@
 	int64_t room = room_for_steady(sizing, zone);
 
 	zone->want_steady = want < room ? want : room;
-	if (zone->want_cheap > sizing->most - zone->want_steady)
-		zone->want_cheap = sizing->most - zone->want_steady;
+	if (zone->want_cheap > sizing->max_servers - zone->want_steady)
+		zone->want_cheap = sizing->max_servers - zone->want_steady;
 }
 
 /* Too few cheap servers: keep the steady ones and order what is missing. */
@@ -92,13 +92,14 @@
 	for (i = 0; i < sizing->n_zones; i++) {
 		struct sizing_zone *zone = &sizing->zones[i];
 
-		/* Steady and cheap servers together are at most `most`. */
+		/* Steady and cheap servers together are at most `max_servers`. */
 		zone->want_cheap = 0;
-		if (sizing->has_cheap && zone->steady < sizing->most)
-			zone->want_cheap = sizing->most - zone->steady;
+		if (sizing->has_cheap && zone->steady < sizing->max_servers)
+			zone->want_cheap = sizing->max_servers - zone->steady;
 		zone->want_steady = sizing->has_cheap ? 0 : zone->steady;
-		if (!sizing->has_cheap && zone->want_steady < sizing->least)
-			zone->want_steady = sizing->least;
+		if (!sizing->has_cheap &&
+		    zone->want_steady < sizing->min_servers)
+			zone->want_steady = sizing->min_servers;
 	}
 	if (sizing->has_cheap &&
 	    cheap_serving(sizing) < part(sizing, SIZING_MIN_CHEAP))
--- a/libfilberthall/fleet/sizing.h
+++ b/libfilberthall/fleet/sizing.h
@@ -46,8 +46,8 @@
 };
 
 struct sizing {
-	int64_t least; /**< servers of both kinds, in each zone */
-	int64_t most;
+	int64_t min_servers; /**< servers of both kinds, in each zone */
+	int64_t max_servers;
 	bool has_cheap;
 	size_t n_zones;
 	struct sizing_zone zones[SIZING_ZONES];
--- a/libfilberthall/fleet/target.c
+++ b/libfilberthall/fleet/target.c
@@ -172,11 +172,11 @@
 static void target_follow_slope(struct target_entry *entry, double all,
 				int64_t start_us, int64_t now_us)
 {
-	int64_t passed_us = now_us - entry->noted_us;
+	int64_t passed_us = now_us - entry->last_demand_us;
 	double weight = (double)passed_us / (double)start_us;
 	double slope;
 
-	if (!entry->noted_us || passed_us <= 0)
+	if (!entry->last_demand_us || passed_us <= 0)
 		return;
 	slope = (all - entry->last_all) / (double)passed_us;
 	entry->slope += (weight < 1 ? weight : 1) * (slope - entry->slope);
@@ -218,7 +218,7 @@
 	entry->all = target_peak_note(&entry->all_peak, all * ahead, part_us,
 				      now_us);
 	entry->last_all = all;
-	entry->noted_us = now_us;
+	entry->last_demand_us = now_us;
 }
 
 static void target_close_offer(struct target *target, const char *zone,
--- a/libfilberthall/fleet/target_state.h
+++ b/libfilberthall/fleet/target_state.h
@@ -45,9 +45,9 @@
 	double tier0;		/**< slots, as planned for */
 	double non_reclaimable; /**< slots that may not be cheap */
 	double all;
-	double last_all;  /**< last recorded demand */
-	double slope;	  /**< slots per microsecond, smoothed */
-	int64_t noted_us; /**< of the last demand, 0 for none */
+	double last_all;	/**< last recorded demand */
+	double slope;		/**< slots per microsecond, smoothed */
+	int64_t last_demand_us; /**< of the last demand, 0 for none */
 	struct target_counts have;
 	struct target_counts want;
 	bool starting; /**< a start is ordered and not known to be done */
--- a/tests/fleet/t-sizing.c
+++ b/tests/fleet/t-sizing.c
@@ -6,9 +6,10 @@
 
 static struct sizing pool(int64_t steady, int64_t cheap)
 {
-	struct sizing sizing = {
-		.least = 1, .most = 6, .has_cheap = true, .n_zones = ZONES
-	};
+	struct sizing sizing = { .min_servers = 1,
+				 .max_servers = 6,
+				 .has_cheap = true,
+				 .n_zones = ZONES };
 	int i;
 
 	for (i = 0; i < ZONES; i++) {
--- a/tests/fleet/t-target.c
+++ b/tests/fleet/t-target.c
@@ -127,8 +127,8 @@
 
 /*
  * A site starts: there is no demand yet, and the pool's minimum number of
- * servers is ordered. With cheap servers only, the first request that may not be
- * reclaimed would be refused for as long as a server takes to start.
+ * servers is ordered. With cheap servers only, the first request that may not
+ * be reclaimed would be refused for as long as a server takes to start.
  */
 static void an_idle_pool_has_steady_servers(void)
 {
