--- a/libfilberthall/load/retry.c
+++ b/libfilberthall/load/retry.c
@@ -131,12 +131,12 @@
 						: RETRY_MAX_ATTEMPTS) &&
 	    !retry->unlimited)
 		return why->code;
-	if (why->sendings >= RETRY_MAX_SENDS && !retry->unlimited)
+	if (why->sends >= RETRY_MAX_SENDS && !retry->unlimited)
 		return why->code;
 	if (why->deadline_us && now_us + why->needs_us > why->deadline_us)
 		return why->code;
 	/* A request that reached no server has added no load to any. */
-	if (retry->unlimited || !why->arrived)
+	if (retry->unlimited || !why->reached_server)
 		return RESULT_OK;
 	return retry_take(retry, why->tier, now_us) ? RESULT_OK
 						    : RESULT_RETRY_BUDGET;
--- a/libfilberthall/load/retry.h
+++ b/libfilberthall/load/retry.h
@@ -75,12 +75,12 @@
 struct retry_case {
 	enum result code; /**< how the attempt ended */
 	int64_t http_status;
-	bool sent;	  /**< a byte may have been sent, in any attempt */
-	bool idempotent;  /**< may be executed twice */
-	int attempts;	  /**< attempts so far that may have run */
-	int max_attempts; /**< bound of `attempts`; 0: RETRY_MAX_ATTEMPTS */
-	int sendings;	  /**< all attempts so far, 0 if unknown */
-	bool arrived;	  /**< an attempt reached a server */
+	bool sent;	     /**< a byte may have been sent, in any attempt */
+	bool idempotent;     /**< may be executed twice */
+	int attempts;	     /**< attempts so far that may have run */
+	int max_attempts;    /**< bound of `attempts`; 0: RETRY_MAX_ATTEMPTS */
+	int sends;	     /**< all attempts so far, 0 if unknown */
+	bool reached_server; /**< an attempt reached a server */
 	int64_t deadline_us;
 	int tier;
 	int64_t needs_us; /**< estimated time of another attempt */
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -10,7 +10,7 @@
 #define SUBMIT_PROMPT_COST 0.1
 
 /* Most waiting requests on one VM, all classes: up to about 100 MB. */
-#define SUBMIT_WAITING_MOST 100000
+#define SUBMIT_MAX_WAITING 100000
 
 /* Default deadline of a class. */
 #define SUBMIT_DEADLINE_US INT64_C(300000000)
@@ -19,7 +19,7 @@
 #define SUBMIT_EMPTY_US INT64_C(10000000)
 
 /* Samples a pool needs before requests are refused by its estimates. */
-#define SUBMIT_MEASURED_LEAST 8
+#define SUBMIT_MIN_SAMPLES 8
 
 /* A request is long if its cost exceeds the geometric mean this many times. */
 #define SUBMIT_LONG_RATIO 4.0
@@ -222,7 +222,7 @@
 	int64_t first_us = (int64_t)pool->first_token_us;
 
 	/* The initial estimates are no reason to refuse a request. */
-	if (pool->n_samples < SUBMIT_MEASURED_LEAST)
+	if (pool->n_samples < SUBMIT_MIN_SAMPLES)
 		return false;
 
 	if (now_us + wait_us + request_needs_us(router, request, now_us) >
@@ -329,7 +329,7 @@
 
 	if (bound && class->waiting >= bound)
 		victim = class_victim(request);
-	else if (router->waiting >= SUBMIT_WAITING_MOST)
+	else if (router->waiting >= SUBMIT_MAX_WAITING)
 		victim = lowest_victim(router, request);
 	else
 		return true;
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -10,7 +10,7 @@
 
 /* An attempt is hedged after this many times the mean time to first token. */
 #define TIME_HEDGE_RATIO 4.0
-#define TIME_HEDGE_LEAST_US 3000000.0
+#define TIME_HEDGE_MIN_US 3000000.0
 
 /* Interval at which an overdue attempt is checked again. */
 #define TIME_HEDGE_AGAIN_US INT64_C(500000)
@@ -42,8 +42,8 @@
 	    attempt->first_us || !request->spec.idempotent ||
 	    !request->spec.model)
 		return INT64_MAX;
-	if (after < TIME_HEDGE_LEAST_US)
-		after = TIME_HEDGE_LEAST_US;
+	if (after < TIME_HEDGE_MIN_US)
+		after = TIME_HEDGE_MIN_US;
 	after += (double)attempt->started_us;
 	return after > (double)request->hedge_us ? (int64_t)after
 						 : request->hedge_us;
@@ -105,7 +105,7 @@
 	struct retry_case why = {
 		.code = RESULT_BACKEND_TIMEOUT,
 		.sent = true,
-		.arrived = true,
+		.reached_server = true,
 		.idempotent = request->spec.idempotent,
 		.attempts = request->n_attempts,
 		.tier = request->tier,
--- a/tests/load/t-retry.c
+++ b/tests/load/t-retry.c
@@ -40,9 +40,9 @@
 		.http_status = 500,
 		.sent = true,
 		.idempotent = true,
-		.arrived = true,
+		.reached_server = true,
 		.attempts = 1,
-		.sendings = 1,
+		.sends = 1,
 		.max_attempts = 2,
 	};
 
@@ -154,7 +154,7 @@
 	struct retry_case why = {
 		.code = RESULT_BACKEND_CONNECT,
 		.attempts = 0,
-		.sendings = 1,
+		.sends = 1,
 	};
 	struct retry retry;
 	int i;
@@ -163,7 +163,7 @@
 	retry.budget = 0;
 	for (i = 0; i < 10; i++)
 		g_assert_cmpint(retry_ask(&retry, &why, 0), ==, RESULT_OK);
-	why.arrived = true;
+	why.reached_server = true;
 	g_assert_cmpint(retry_ask(&retry, &why, 0), ==, RESULT_RETRY_BUDGET);
 }
 
