--- a/libfilberthall/load/quota.c
+++ b/libfilberthall/load/quota.c
@@ -28,7 +28,7 @@
 	return level < capacity ? level : capacity;
 }
 
-static void quota_fill(struct quota *quota, int64_t now_us)
+static void quota_refill(struct quota *quota, int64_t now_us)
 {
 	int64_t elapsed_us = now_us - quota->filled_us;
 
@@ -66,7 +66,7 @@
 {
 	struct quota_limits old = quota->limits;
 
-	quota_fill(quota, now_us);
+	quota_refill(quota, now_us);
 	quota->limits = *limits;
 	if (old.max_concurrent != limits->max_concurrent)
 		quota->concurrent_part = (int64_t)ceil(
@@ -84,10 +84,10 @@
 void quota_set_part(struct quota *quota, double part, int64_t concurrent_part,
 		    int64_t now_us)
 {
-	quota_fill(quota, now_us);
+	quota_refill(quota, now_us);
 	quota->part = part;
 	quota->concurrent_part = concurrent_part;
-	quota_fill(quota, now_us);
+	quota_refill(quota, now_us);
 }
 
 /* Time until a bucket with a negative level is above zero. */
@@ -101,12 +101,12 @@
 	return (int64_t)(-level / per_ms) + 1;
 }
 
-enum result quota_take(struct quota *quota, int64_t tokens, int64_t now_us,
-		       int64_t *retry_after_ms)
+enum result quota_charge(struct quota *quota, int64_t tokens, int64_t now_us,
+			 int64_t *retry_after_ms)
 {
 	const struct quota_limits *limits = &quota->limits;
 
-	quota_fill(quota, now_us);
+	quota_refill(quota, now_us);
 	quota->asked++;
 	if (limits->max_concurrent &&
 	    quota->concurrent >= quota->concurrent_part) {
@@ -131,11 +131,11 @@
 
 void quota_release(struct quota *quota, int64_t delta, int64_t now_us)
 {
-	quota_fill(quota, now_us);
+	quota_refill(quota, now_us);
 	quota->concurrent--;
 	if (quota->limits.tokens_per_min)
 		quota->tokens -= (double)delta;
-	quota_fill(quota, now_us);
+	quota_refill(quota, now_us);
 }
 
 void quota_undo(struct quota *quota, int64_t tokens, int64_t now_us)
--- a/libfilberthall/load/quota.h
+++ b/libfilberthall/load/quota.h
@@ -38,7 +38,7 @@
 	double requests; /**< level of the bucket, may be negative */
 	double tokens;	 /**< level of the bucket, may be negative */
 	int64_t filled_us;
-	int64_t asked; /**< quota_take() calls since the last usage report */
+	int64_t asked; /**< quota_charge() calls since the last usage report */
 	bool reported; /**< in use at the last usage report */
 };
 
@@ -62,8 +62,8 @@
  * within the limits; else charges nothing, sets `*retry_after_ms` and returns
  * RESULT_LIMIT_CONCURRENT, RESULT_LIMIT_REQUESTS or RESULT_LIMIT_TOKENS.
  */
-enum result quota_take(struct quota *quota, int64_t tokens, int64_t now_us,
-		       int64_t *retry_after_ms);
+enum result quota_charge(struct quota *quota, int64_t tokens, int64_t now_us,
+			 int64_t *retry_after_ms);
 
 /** End a request that used `delta` tokens more than it was charged. */
 void quota_release(struct quota *quota, int64_t delta, int64_t now_us);
--- a/libfilberthall/load/router_state.h
+++ b/libfilberthall/load/router_state.h
@@ -216,8 +216,8 @@
 	uint64_t sequence;
 	uint64_t last_organisation;
 	int64_t waiting;
-	int64_t open;	     /**< requests not yet answered */
-	int64_t compared_us; /**< when stragglers were last searched for */
+	int64_t open;	       /**< requests not yet answered */
+	int64_t maintained_us; /**< time of the last straggler search and key removal */
 	bool draining;
 	struct router_peers *peers;
 };
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -348,13 +348,13 @@
 	int64_t tokens = request->spec.prompt_tokens + request->estimate;
 	enum result code;
 
-	code = quota_take(&request->organisation->quota, tokens, now_us,
-			  retry_after_ms);
+	code = quota_charge(&request->organisation->quota, tokens, now_us,
+			    retry_after_ms);
 	if (code)
 		return code;
 	if (request->key) {
-		code = quota_take(&request->key->quota, 0, now_us,
-				  retry_after_ms);
+		code = quota_charge(&request->key->quota, 0, now_us,
+				    retry_after_ms);
 		if (code) {
 			quota_undo(&request->organisation->quota, tokens,
 				   now_us);
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -2,8 +2,8 @@
 
 #include "load/router_state.h"
 
-/* Interval of the search for stragglers. */
-#define TIME_COMPARE_US INT64_C(1000000)
+/* Interval of the search for stragglers and the removal of unused keys. */
+#define TIME_MAINTENANCE_US INT64_C(1000000)
 
 /* Interval at which a waiting request past its target is checked. */
 #define TIME_LOOK_US INT64_C(250000)
@@ -201,8 +201,8 @@
 	struct pool *next;
 
 	router_run_timers(router, now_us, effects);
-	if (now_us - router->compared_us >= TIME_COMPARE_US) {
-		router->compared_us = now_us;
+	if (now_us - router->maintained_us >= TIME_MAINTENANCE_US) {
+		router->maintained_us = now_us;
 		if (router->options.features.stragglers)
 			fleet_update_stragglers(router->options.fleet);
 		router_drop_keys(router, now_us);
--- a/tests/load/t-quota.c
+++ b/tests/load/t-quota.c
@@ -94,7 +94,7 @@
 			naive_release(naive, tokens - 700, now_us);
 			continue;
 		}
-		code = quota_take(&quota, tokens, now_us, &retry_after_ms);
+		code = quota_charge(&quota, tokens, now_us, &retry_after_ms);
 		g_assert_cmpint(code, ==, naive_take(naive, tokens, now_us));
 		g_assert_cmpint(quota.concurrent, ==, naive->concurrent);
 	}
@@ -125,7 +125,7 @@
 	quota_init(&quota, &limits, 0);
 	for (now_us = 0; now_us < 600000000; now_us += 10000) {
 		retry_after_ms = 0;
-		if (quota_take(&quota, 100, now_us, &retry_after_ms)) {
+		if (quota_charge(&quota, 100, now_us, &retry_after_ms)) {
 			g_assert_cmpint(retry_after_ms, >, 0);
 			continue;
 		}
