--- a/libfilberthall/load/divide.c
+++ b/libfilberthall/load/divide.c
@@ -12,13 +12,13 @@
 #define PAUSE_TOLERANCE 1.25
 
 /* A prefill within this fraction of the pause doesn't delay other streams. */
-#define PAUSE_READ_PART 0.5
+#define PAUSE_PREFILL_SHARE 0.5
 
 /* If no request sets a pause: fraction of the mean that counts as short. */
 #define PROMPT_SHORT 0.35
 
 /* Time constant of the exponential decay of used_us. */
-#define USED_FADE_US 4300000.0
+#define USED_DECAY_US 4300000.0
 
 void divide_init(struct divide *divide)
 {
@@ -48,14 +48,15 @@
 		return prompt < PROMPT_SHORT * query->mean_prompt;
 	return query->pause_us > 0 &&
 	       (double)query->pause_us <= PAUSE_TOLERANCE * pause_us &&
-	       prompt / query->prefill_rate * 1e6 < PAUSE_READ_PART * pause_us;
+	       prompt / query->prefill_rate * 1e6 <
+		       PAUSE_PREFILL_SHARE * pause_us;
 }
 
 static void fade(struct divide *divide, int64_t now_us)
 {
 	double age_us = (double)(now_us - divide->used_at_us);
 
-	divide->used_us *= exp(-age_us / USED_FADE_US);
+	divide->used_us *= exp(-age_us / USED_DECAY_US);
 	divide->used_at_us = now_us;
 }
 
@@ -78,7 +79,7 @@
 static double share_by_work(const struct divide *divide,
 			    const struct divide_pool *pool, int vms)
 {
-	double servers = divide->used_us / USED_FADE_US * vms;
+	double servers = divide->used_us / USED_DECAY_US * vms;
 
 	return DIVIDE_HEADROOM * servers / pool->n;
 }
@@ -116,7 +117,7 @@
 }
 
 /* Number of servers, out of `n`, that are reserved for paced streams. */
-static int part_of(const struct divide *divide, int n)
+static int reserved_servers(const struct divide *divide, int n)
 {
 	return (int)(divide->share * n + 0.5);
 }
@@ -135,11 +136,11 @@
 	}
 	qsort(sorted, (size_t)n, sizeof(*sorted), compare_hash);
 	for (i = 0; i < n; i++) {
-		bool in_part = i < part_of(divide, n) ||
-			       n_paced < part_of(divide, n_usable);
+		bool reserved = i < reserved_servers(divide, n) ||
+				n_paced < reserved_servers(divide, n_usable);
 
 		sorted[i]->for_paced =
-			in_part && backend_usable(sorted[i], now_us);
+			reserved && backend_usable(sorted[i], now_us);
 		n_paced += sorted[i]->for_paced;
 	}
 	free(sorted);
