--- a/libfilberthall/agree/admin.c
+++ b/libfilberthall/agree/admin.c
@@ -57,7 +57,7 @@
 	path = rule ? xstrfmt("team/%s/organisation/%s", rule->team,
 			      key->organisation)
 		    : xstrdup(key->subtree);
-	if (key_reaches(list->by, path) == RESULT_OK)
+	if (key_covers_path(list->by, path) == RESULT_OK)
 		json_array_append_new(list->keys, key_describe(key));
 }
 
@@ -136,7 +136,7 @@
 	return RESULT_OK;
 }
 
-static void admin_drop(json_t **args)
+static void admin_decref_args(json_t **args)
 {
 	json_decref(*args);
 }
@@ -146,7 +146,7 @@
 			const struct entry_head *head, struct bytes *out,
 			const struct error_handler *handler)
 {
-	cleanup(admin_drop) json_t *args = NULL;
+	cleanup(admin_decref_args) json_t *args = NULL;
 	cleanup(free_ptr) char *change_id = NULL;
 	struct entry_head full = *head;
 	enum result code = admin_check_key(key, handler);
@@ -192,7 +192,7 @@
 		       const struct bytes *body, const struct key *key,
 		       json_t **answer)
 {
-	cleanup(admin_drop) json_t *args = NULL;
+	cleanup(admin_decref_args) json_t *args = NULL;
 	cleanup(bytes_clear) struct bytes message = { 0 };
 	struct error_handler handler = { admin_collect, &message };
 	enum result code = admin_check_key(key, &handler);
--- a/libfilberthall/agree/apply_admin.c
+++ b/libfilberthall/agree/apply_admin.c
@@ -40,7 +40,7 @@
 static enum result command_check_path(const struct command *command,
 				      const char *path)
 {
-	if (key_reaches(command->by, path) == RESULT_OK)
+	if (key_covers_path(command->by, path) == RESULT_OK)
 		return RESULT_OK;
 	return command_forbidden(command, path);
 }
@@ -205,7 +205,7 @@
 	const struct organisation_rule *rule;
 	cleanup(free_ptr) char *path = NULL;
 
-	if (operates && key_reaches(command->by, subtree) != RESULT_OK)
+	if (operates && key_covers_path(command->by, subtree) != RESULT_OK)
 		return command_forbidden(command, subtree);
 	if (!*organisation)
 		return RESULT_OK;
--- a/libfilberthall/agree/claim.c
+++ b/libfilberthall/agree/claim.c
@@ -46,12 +46,12 @@
 	entry->body = NULL;
 	entry->claim.body = NULL;
 	entry->claim.body_len = 0;
-	entry->claim.kept = false;
+	entry->claim.has_answer = false;
 }
 
-static void claim_forget(struct claims *claims, struct claim_entry *entry)
+static void claim_delete(struct claims *claims, struct claim_entry *entry)
 {
-	if (entry->claim.kept)
+	if (entry->claim.has_answer)
 		claim_drop_answer(claims, entry);
 	list_remove(&entry->age_node);
 	map_remove(&claims->by_id, &entry->node);
@@ -70,7 +70,7 @@
 	if (!claims)
 		return;
 	map_foreach(entry, next, &claims->by_id, node)
-		claim_forget(claims, entry);
+		claim_delete(claims, entry);
 	map_foreach(member, next_member, &claims->members, node)
 		free(member);
 	map_clear(&claims->by_id);
@@ -143,16 +143,16 @@
 	case CLAIM_SENT:
 		return RESULT_CLAIM_RUNNING;
 	case CLAIM_DONE:
-		return claim->kept ? RESULT_CLAIM_DONE
-				   : RESULT_CLAIM_ANSWER_GONE;
+		return claim->has_answer ? RESULT_CLAIM_DONE
+					 : RESULT_CLAIM_ANSWER_GONE;
 	case CLAIM_UNKNOWN:
 		break;
 	}
 	return RESULT_CLAIM_UNKNOWN;
 }
 
-enum result claims_probe(const struct claims *claims, const char *id,
-			 const char *body_hash)
+enum result claims_check_open(const struct claims *claims, const char *id,
+			      const char *body_hash)
 {
 	const struct claim *claim = claims_find(claims, id);
 
@@ -163,8 +163,8 @@
 	return RESULT_OK;
 }
 
-void claim_touch(struct claims *claims, struct claim_entry *entry,
-		 enum claim_state state, int64_t time_us)
+void claim_update_state(struct claims *claims, struct claim_entry *entry,
+			enum claim_state state, int64_t time_us)
 {
 	entry->claim.state = state;
 	entry->claim.changed_us = time_us;
@@ -204,7 +204,7 @@
 	entry->body = xmemdup(body ? body : "", len);
 	entry->claim.body = entry->body;
 	entry->claim.body_len = len;
-	entry->claim.kept = true;
+	entry->claim.has_answer = true;
 	claims->answer_bytes += len;
 	list_append(&claims->kept, &entry->kept_node);
 }
@@ -235,12 +235,13 @@
 
 	if (claims_is_gone(claims, owner))
 		return RESULT_CONFLICT;
-	code = claims_probe(claims, op->id, op->body_hash ? op->body_hash : "");
+	code = claims_check_open(claims, op->id,
+				 op->body_hash ? op->body_hash : "");
 	if (code != RESULT_OK)
 		return code;
 	entry = claim_add(claims, op->id, op->body_hash, owner);
-	claim_touch(claims, entry, op->sending ? CLAIM_SENT : CLAIM_OPEN,
-		    time_us);
+	claim_update_state(claims, entry, op->sending ? CLAIM_SENT : CLAIM_OPEN,
+			   time_us);
 	return RESULT_OK;
 }
 
@@ -260,7 +261,7 @@
 	claim_set_head(entry, op->http_status, op->content_type);
 	if ((int64_t)op->body_len <= claims->limits.answer_bytes)
 		claim_keep_body(claims, entry, op->body, op->body_len);
-	claim_touch(claims, entry, CLAIM_DONE, time_us);
+	claim_update_state(claims, entry, CLAIM_DONE, time_us);
 	return RESULT_OK;
 }
 
@@ -273,12 +274,12 @@
 	if (state == CLAIM_DONE || state == CLAIM_UNKNOWN)
 		return RESULT_CONFLICT;
 	if (op->verb == CLAIM_VERB_RELEASE)
-		claim_forget(claims, entry);
+		claim_delete(claims, entry);
 	else
-		claim_touch(claims, entry,
-			    op->verb == CLAIM_VERB_SENT ? CLAIM_SENT
-							: CLAIM_UNKNOWN,
-			    time_us);
+		claim_update_state(claims, entry,
+				   op->verb == CLAIM_VERB_SENT ? CLAIM_SENT
+							       : CLAIM_UNKNOWN,
+				   time_us);
 	return RESULT_OK;
 }
 
@@ -325,7 +326,7 @@
 	list_foreach_safe(entry, next, &claims->by_age, age_node) {
 		if (entry->claim.changed_us + claims->limits.keep_us > time_us)
 			break;
-		claim_forget(claims, entry);
+		claim_delete(claims, entry);
 	}
 	claims_drop_excess_answers(claims);
 }
@@ -404,8 +405,9 @@
 			continue;
 		visit(data, claim->id);
 		if (claim->state == CLAIM_OPEN)
-			claim_forget(claims, entry);
+			claim_delete(claims, entry);
 		else
-			claim_touch(claims, entry, CLAIM_UNKNOWN, time_us);
+			claim_update_state(claims, entry, CLAIM_UNKNOWN,
+					   time_us);
 	}
 }
--- a/libfilberthall/agree/claim.h
+++ b/libfilberthall/agree/claim.h
@@ -64,7 +64,7 @@
 	struct claim_owner owner;
 	enum claim_state state;
 	int64_t changed_us; /**< log time */
-	bool kept;	    /**< the answer is kept */
+	bool has_answer;    /**< the answer is kept */
 	int64_t http_status;
 	const char *content_type;
 	const char *body;
@@ -130,8 +130,8 @@
 /**
  * The result that CLAIM_VERB_OPEN with this id and body hash would give now.
  */
-enum result claims_probe(const struct claims *claims, const char *id,
-			 const char *body_hash);
+enum result claims_check_open(const struct claims *claims, const char *id,
+			      const char *body_hash);
 
 /** Apply one operation at log time `time_us`. */
 enum result claims_apply(struct claims *claims, const struct claim_owner *owner,
--- a/libfilberthall/agree/claim_save.c
+++ b/libfilberthall/agree/claim_save.c
@@ -39,7 +39,7 @@
 	msgpack_pack_int64(packer, claim->changed_us);
 	msgpack_pack_int64(packer, claim->http_status);
 	claim_pack_text(packer, claim->content_type);
-	if (!claim->kept) {
+	if (!claim->has_answer) {
 		msgpack_pack_nil(packer);
 		return;
 	}
@@ -92,7 +92,7 @@
 	if (state == CLAIM_DONE && json_is_string(body))
 		claim_keep_body(claims, entry, json_string_value(body),
 				json_string_length(body));
-	claim_touch(claims, entry, (enum claim_state)state, changed_us);
+	claim_update_state(claims, entry, (enum claim_state)state, changed_us);
 	return true;
 }
 
--- a/libfilberthall/agree/claim_state.h
+++ b/libfilberthall/agree/claim_state.h
@@ -35,14 +35,14 @@
 struct claim_entry *claims_find_entry(const struct claims *claims,
 				      const char *id);
 
-/** Add a claim; claim_touch() must follow. */
+/** Add a claim; claim_update_state() must follow. */
 struct claim_entry *claim_add(struct claims *claims, const char *id,
 			      const char *body_hash,
 			      const struct claim_owner *owner);
 
 /** Set the state, and the time of the change. */
-void claim_touch(struct claims *claims, struct claim_entry *entry,
-		 enum claim_state state, int64_t time_us);
+void claim_update_state(struct claims *claims, struct claim_entry *entry,
+			enum claim_state state, int64_t time_us);
 
 /** Set the status and content type of the answer. */
 void claim_set_head(struct claim_entry *entry, int64_t http_status,
--- a/libfilberthall/agree/codec.c
+++ b/libfilberthall/agree/codec.c
@@ -83,45 +83,45 @@
 
 /* The layout of a msgpack item, as its first byte defines it. */
 struct codec_item {
-	size_t size_bytes; /**< size of the count after the first byte */
-	size_t fixed;	   /**< payload size or count, if the first byte
+	size_t count_bytes;  /**< size of the count after the first byte */
+	size_t inline_count; /**< payload size or count, if the first byte
 	             	   gives it */
-	int parts;	   /**< items per count; 0 if the count is in bytes */
+	int items_per_count; /**< items per count; 0 if the count is in bytes */
 };
 
-static bool codec_small_item(unsigned char first, struct codec_item *item)
+static bool codec_parse_fix_item(unsigned char first, struct codec_item *item)
 {
 	if (first < 0x80 || first >= 0xe0)
 		return true;
 	if (first < 0x90) {
-		item->fixed = first & 0x0f;
-		item->parts = 2;
+		item->inline_count = first & 0x0f;
+		item->items_per_count = 2;
 	} else if (first < 0xa0) {
-		item->fixed = first & 0x0f;
-		item->parts = 1;
+		item->inline_count = first & 0x0f;
+		item->items_per_count = 1;
 	} else if (first < 0xc0) {
-		item->fixed = first & 0x1f;
+		item->inline_count = first & 0x1f;
 	} else {
 		return false;
 	}
 	return true;
 }
 
-static bool codec_large_item(unsigned char first, struct codec_item *item)
+static bool codec_parse_other_item(unsigned char first, struct codec_item *item)
 {
 	static const unsigned char numbers[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
 
 	if (first == 0xc0 || first == 0xc2 || first == 0xc3)
 		return true;
 	if (first >= 0xc4 && first <= 0xc6) {
-		item->size_bytes = (size_t)1 << (first - 0xc4);
+		item->count_bytes = (size_t)1 << (first - 0xc4);
 	} else if (first >= 0xca && first <= 0xd3) {
-		item->fixed = numbers[first - 0xca];
+		item->inline_count = numbers[first - 0xca];
 	} else if (first >= 0xd9 && first <= 0xdb) {
-		item->size_bytes = (size_t)1 << (first - 0xd9);
+		item->count_bytes = (size_t)1 << (first - 0xd9);
 	} else if (first >= 0xdc) {
-		item->size_bytes = (first & 1) ? 4 : 2;
-		item->parts = first < 0xde ? 1 : 2;
+		item->count_bytes = (first & 1) ? 4 : 2;
+		item->items_per_count = first < 0xde ? 1 : 2;
 	} else {
 		return false;
 	}
@@ -146,20 +146,20 @@
 
 		if (items > len - at)
 			return 0;
-		if (!codec_small_item(data[at], &item) &&
-		    !codec_large_item(data[at], &item))
+		if (!codec_parse_fix_item(data[at], &item) &&
+		    !codec_parse_other_item(data[at], &item))
 			return 0;
 		at++;
 		items--;
-		if (item.size_bytes > len - at)
+		if (item.count_bytes > len - at)
 			return 0;
-		count = item.fixed;
-		for (; item.size_bytes; item.size_bytes--)
+		count = item.inline_count;
+		for (; item.count_bytes; item.count_bytes--)
 			count = count << 8 | data[at++];
 		if (count > len - at)
 			return 0;
-		if (item.parts)
-			items += count * (size_t)item.parts;
+		if (item.items_per_count)
+			items += count * (size_t)item.items_per_count;
 		else
 			at += count;
 	}
@@ -175,7 +175,7 @@
 }
 
 /* Whether an object is a string without NUL. */
-static bool codec_is_name(const msgpack_object *object)
+static bool codec_is_c_string(const msgpack_object *object)
 {
 	return object->type == MSGPACK_OBJECT_STR &&
 	       !memchr(codec_str(object), '\0', object->via.str.size);
@@ -189,7 +189,7 @@
 	for (i = 0; i < map->size; i++) {
 		const msgpack_object *key = &map->ptr[i].key;
 
-		if (!codec_is_name(key) ||
+		if (!codec_is_c_string(key) ||
 		    json_object_setn_new(value, codec_str(key),
 					 key->via.str.size,
 					 codec_value(&map->ptr[i].val)) < 0) {
@@ -232,7 +232,7 @@
 	case MSGPACK_OBJECT_FLOAT64:
 		return json_real(object->via.f64);
 	case MSGPACK_OBJECT_STR:
-		return codec_is_name(object)
+		return codec_is_c_string(object)
 			       ? json_stringn(codec_str(object),
 					      object->via.str.size)
 			       : NULL;
--- a/libfilberthall/agree/cross.c
+++ b/libfilberthall/agree/cross.c
@@ -18,8 +18,8 @@
 	[RULE_OTHER] = "setting",
 };
 
-static enum result cross_fault(struct schema_fault *fault, const char *path,
-			       const char *field)
+static enum result cross_set_fault(struct schema_fault *fault, const char *path,
+				   const char *field)
 {
 	fault->code = RESULT_SETTING_VALUE;
 	snprintf(fault->path, sizeof(fault->path), "%s", path);
@@ -49,7 +49,7 @@
 		snprintf(fault->allowed, sizeof(fault->allowed),
 			 "a %s name that no other team uses",
 			 cross_kind_names[own->kind]);
-		return cross_fault(fault, own->path, "");
+		return cross_set_fault(fault, own->path, "");
 	}
 	return RESULT_OK;
 }
@@ -89,7 +89,7 @@
 		 "makes the shares of all classes %g", sum);
 	snprintf(fault->allowed, sizeof(fault->allowed),
 		 "%g at most over all classes of the site", CROSS_SHARE_LIMIT);
-	return cross_fault(fault, culprit->path, "min_share");
+	return cross_set_fault(fault, culprit->path, "min_share");
 }
 
 static enum result cross_check_routes(const struct settings *settings,
@@ -110,7 +110,7 @@
 			 "names \"%s\", which is no class", name);
 		snprintf(fault->allowed, sizeof(fault->allowed),
 			 "a class that exists after the change");
-		return cross_fault(fault, service->path, field);
+		return cross_set_fault(fault, service->path, field);
 	}
 	return RESULT_OK;
 }
@@ -129,7 +129,7 @@
 	snprintf(fault->reason, sizeof(fault->reason), "is %lld",
 		 (long long)json_integer_value(voters));
 	snprintf(fault->allowed, sizeof(fault->allowed), "1, 3, 5 or 7");
-	return cross_fault(fault, setting->path, "voters");
+	return cross_set_fault(fault, setting->path, "voters");
 }
 
 enum result cross_check(const struct settings *settings,
--- a/libfilberthall/agree/key.c
+++ b/libfilberthall/agree/key.c
@@ -111,7 +111,8 @@
 	size_t used;
 };
 
-static const char *key_lay_text(struct key_layout *layout, const char *text)
+static const char *key_layout_add_text(struct key_layout *layout,
+				       const char *text)
 {
 	size_t len = strlen(text) + 1;
 	char *at = NULL;
@@ -124,7 +125,8 @@
 	return at;
 }
 
-static const char **key_lay_list(struct key_layout *layout, const json_t *list)
+static const char **key_layout_reserve_list(struct key_layout *layout,
+					    const json_t *list)
 {
 	const char **at = NULL;
 
@@ -134,15 +136,15 @@
 	return at;
 }
 
-static void key_lay_items(struct key_layout *layout, const char **at,
-			  const json_t *list)
+static void key_layout_add_items(struct key_layout *layout, const char **at,
+				 const json_t *list)
 {
 	const json_t *item;
 	size_t i;
 
 	json_array_foreach(list, i, item) {
 		const char *text =
-			key_lay_text(layout, json_string_value(item));
+			key_layout_add_text(layout, json_string_value(item));
 
 		if (at)
 			at[i] = text;
@@ -151,26 +153,29 @@
 		at[json_array_size(list)] = NULL;
 }
 
-static void key_lay_out(struct key *key, struct key_layout *layout,
-			const json_t *args)
+static void key_layout_build(struct key *key, struct key_layout *layout,
+			     const json_t *args)
 {
 	const json_t *classes = json_object_get(args, "classes");
 	const json_t *models = json_object_get(args, "models");
 	const json_t *services = json_object_get(args, "services");
 
-	key->classes = key_lay_list(layout, classes);
-	key->models = key_lay_list(layout, models);
-	key->services = key_lay_list(layout, services);
-	key_lay_items(layout, key->classes, classes);
-	key_lay_items(layout, key->models, models);
-	key_lay_items(layout, key->services, services);
-	key->id = key_lay_text(layout, codec_text(args, "id", ""));
-	key->hash = key_lay_text(layout, codec_text(args, "hash", ""));
+	key->classes = key_layout_reserve_list(layout, classes);
+	key->models = key_layout_reserve_list(layout, models);
+	key->services = key_layout_reserve_list(layout, services);
+	key_layout_add_items(layout, key->classes, classes);
+	key_layout_add_items(layout, key->models, models);
+	key_layout_add_items(layout, key->services, services);
+	key->id = key_layout_add_text(layout, codec_text(args, "id", ""));
+	key->hash = key_layout_add_text(layout, codec_text(args, "hash", ""));
 	key->organisation =
-		key_lay_text(layout, codec_text(args, "organisation", ""));
+		key_layout_add_text(layout,
+				    codec_text(args, "organisation", ""));
 	key->default_class =
-		key_lay_text(layout, codec_text(args, "default_class", ""));
-	key->subtree = key_lay_text(layout, codec_text(args, "subtree", ""));
+		key_layout_add_text(layout,
+				    codec_text(args, "default_class", ""));
+	key->subtree =
+		key_layout_add_text(layout, codec_text(args, "subtree", ""));
 }
 
 static void keys_add(struct keys *keys, const json_t *args, int64_t index)
@@ -179,11 +184,11 @@
 	struct key_entry *entry;
 	struct key measure;
 
-	key_lay_out(&measure, &layout, args);
+	key_layout_build(&measure, &layout, args);
 	entry = xcalloc(1, sizeof(*entry) + layout.used);
 	entry->bytes = sizeof(*entry) + layout.used;
 	layout = (struct key_layout){ .block = entry->block };
-	key_lay_out(&entry->key, &layout, args);
+	key_layout_build(&entry->key, &layout, args);
 	entry->key.operates = json_is_true(json_object_get(args, "operates"));
 	entry->key.caller = json_is_true(json_object_get(args, "caller")) ||
 			    !entry->key.operates;
@@ -224,7 +229,7 @@
 	return RESULT_OK;
 }
 
-static json_t *key_list_json(const char **list)
+static json_t *key_list_to_json(const char **list)
 {
 	json_t *items = json_array();
 
@@ -239,9 +244,9 @@
 			 "organisation", key->organisation, "default_class",
 			 key->default_class, "subtree", key->subtree, "caller",
 			 key->caller, "operates", key->operates, "classes",
-			 key_list_json(key->classes), "models",
-			 key_list_json(key->models), "services",
-			 key_list_json(key->services), "max_concurrent",
+			 key_list_to_json(key->classes), "models",
+			 key_list_to_json(key->models), "services",
+			 key_list_to_json(key->services), "max_concurrent",
 			 (json_int_t)key->max_concurrent, "requests_per_min",
 			 (json_int_t)key->requests_per_min, "version",
 			 (json_int_t)key->version);
@@ -337,7 +342,7 @@
 	return !strncmp(path, subtree, len) && (!path[len] || path[len] == '/');
 }
 
-enum result key_reaches(const struct key *key, const char *path)
+enum result key_covers_path(const struct key *key, const char *path)
 {
 	if (!key->operates || !key_path_is_below(path, key->subtree))
 		return RESULT_PATH_FORBIDDEN;
--- a/libfilberthall/agree/key.h
+++ b/libfilberthall/agree/key.h
@@ -95,7 +95,7 @@
  * Whether an operator with this key may change this path of the settings:
  * RESULT_OK or RESULT_PATH_FORBIDDEN.
  */
-enum result key_reaches(const struct key *key, const char *path);
+enum result key_covers_path(const struct key *key, const char *path);
 
 /** Convert a key to the format of core/rule.h. */
 void key_fill_rule(const struct key *key, struct key_rule *rule);
--- a/libfilberthall/agree/key_field.c
+++ b/libfilberthall/agree/key_field.c
@@ -32,7 +32,7 @@
 
 #define KEY_N_FIELDS (sizeof(key_fields) / sizeof(key_fields[0]))
 
-static bool key_list_holds(const json_t *list, size_t max_len)
+static bool key_list_is_valid(const json_t *list, size_t max_len)
 {
 	const json_t *item;
 	size_t i;
@@ -63,7 +63,7 @@
 			return NULL;
 		return "must be a whole number from 0 to 1000000000";
 	case KEY_LIST:
-		if (key_list_holds(value, field->max_len))
+		if (key_list_is_valid(value, field->max_len))
 			return NULL;
 		return "must be a list of at most 16 names";
 	}
--- a/libfilberthall/agree/lease.c
+++ b/libfilberthall/agree/lease.c
@@ -16,7 +16,7 @@
 	return options;
 }
 
-int64_t lease_stretch(int64_t us, int64_t drift_ppm)
+int64_t lease_add_drift(int64_t us, int64_t drift_ppm)
 {
 	/*
 	 * One clock may be fast by drift_ppm and the other slow by as much. The
@@ -44,8 +44,8 @@
 	 * progress, even if it transferred leadership itself.
 	 */
 	lease->first_order_us =
-		now_us + lease_stretch(lease->options.duration_us,
-				       lease->options.drift_ppm);
+		now_us + lease_add_drift(lease->options.duration_us,
+					 lease->options.drift_ppm);
 }
 
 void lease_renew(struct lease *lease, int64_t quorum_us)
@@ -56,7 +56,7 @@
 		lease->expires_us = until_us;
 }
 
-void lease_lost(struct lease *lease)
+void lease_end(struct lease *lease)
 {
 	lease->held = false;
 }
--- a/libfilberthall/agree/lease.h
+++ b/libfilberthall/agree/lease.h
@@ -61,7 +61,7 @@
 void lease_renew(struct lease *lease, int64_t quorum_us);
 
 /** This VM is no longer leader, or starts a leadership transfer. */
-void lease_lost(struct lease *lease);
+void lease_end(struct lease *lease);
 
 /** Whether this VM holds the lease now. */
 bool lease_valid(const struct lease *lease, int64_t now_us);
@@ -77,6 +77,6 @@
 int64_t lease_order_deadline(const struct lease *lease);
 
 /** A duration `us` on one clock, in the worst case on another clock. */
-int64_t lease_stretch(int64_t us, int64_t drift_ppm);
+int64_t lease_add_drift(int64_t us, int64_t drift_ppm);
 
 #endif
--- a/libfilberthall/agree/order_book.c
+++ b/libfilberthall/agree/order_book.c
@@ -9,7 +9,7 @@
 
 struct order_entry {
 	struct map_node node;
-	struct list settled; /**< in order_book.settled, oldest first */
+	struct list settled_node; /**< in order_book.settled, oldest first */
 	struct placed_order placed;
 	json_t *order;
 	char *state;
@@ -37,7 +37,7 @@
 {
 	if (entry->placed.settled)
 		book->n_settled--;
-	list_remove(&entry->settled);
+	list_remove(&entry->settled_node);
 	map_remove(&book->by_id, &entry->node);
 	json_decref(entry->order);
 	free(entry->state);
@@ -136,18 +136,18 @@
 	entry->placed.order_id = codec_text(entry->order, "order_id", "");
 	entry->placed.placed_us = time_us;
 	entry->placed.index = index;
-	list_init(&entry->settled);
+	list_init(&entry->settled_node);
 	order_entry_set_state(entry, "placed", "");
 	map_insert(&book->by_id, &entry->node, map_hash_text(order_id));
 	return RESULT_OK;
 }
 
-static void order_book_bound(struct order_book *book)
+static void order_book_evict_settled(struct order_book *book)
 {
 	struct order_entry *entry;
 	struct order_entry *next;
 
-	list_foreach_safe(entry, next, &book->settled, settled) {
+	list_foreach_safe(entry, next, &book->settled, settled_node) {
 		if (book->n_settled <= ORDER_BOOK_SETTLED)
 			break;
 		order_entry_remove(book, entry);
@@ -169,9 +169,9 @@
 			      *address ? address : entry->address);
 	if (settles) {
 		entry->placed.settled = true;
-		list_append(&book->settled, &entry->settled);
+		list_append(&book->settled, &entry->settled_node);
 		book->n_settled++;
-		order_book_bound(book);
+		order_book_evict_settled(book);
 	}
 	return RESULT_OK;
 }
@@ -208,7 +208,7 @@
 
 	map_foreach(entry, next, &book->by_id, node)
 		json_array_append_new(orders, order_entry_save(entry));
-	list_foreach(entry, &book->settled, settled)
+	list_foreach(entry, &book->settled, settled_node)
 		json_array_append_new(settled,
 				      json_string(entry->placed.order_id));
 	return json_pack("{sI so so}", "fence", (json_int_t)book->fence,
@@ -250,7 +250,7 @@
 		if (!entry || entry->placed.settled)
 			return RESULT_MESSAGE_MALFORMED;
 		entry->placed.settled = true;
-		list_append(&book->settled, &entry->settled);
+		list_append(&book->settled, &entry->settled_node);
 		book->n_settled++;
 	}
 	book->fence = codec_int(saved, "fence", book->fence);
--- a/libfilberthall/agree/raft.c
+++ b/libfilberthall/agree/raft.c
@@ -44,7 +44,7 @@
 struct raft *raft_new(const struct raft_options *options, int64_t now_us)
 {
 	struct raft *raft = xcalloc(1, sizeof(*raft));
-	bool forgetful = options->mutant == RAFT_MUTANT_NO_RESTART_WAIT;
+	bool skip_restart_wait = options->mutant == RAFT_MUTANT_NO_RESTART_WAIT;
 
 	raft->options = *options;
 	if (raft->options.max_inflight > RAFT_MAX_INFLIGHT)
@@ -55,7 +55,7 @@
 	list_init(&raft->deferred);
 	list_init(&raft->peers);
 	map_init(&raft->peers_by_id);
-	raft->leader_contact_us = forgetful ? RAFT_NEVER : now_us;
+	raft->leader_contact_us = skip_restart_wait ? RAFT_NEVER : now_us;
 	raft->fresh_us = RAFT_NEVER;
 	raft->upstream_contact_us = RAFT_NEVER;
 	lease_init(&raft->lease, &options->lease);
@@ -428,7 +428,7 @@
 	raft->transferring = true;
 	raft->transfer_sent = false;
 	raft->transfer_until_us = now_us + raft->options.election_us;
-	lease_lost(&raft->lease);
+	lease_end(&raft->lease);
 	raft_continue_transfer(raft, now_us, effects);
 	raft_finish(raft, now_us, effects);
 }
--- a/libfilberthall/agree/raft.h
+++ b/libfilberthall/agree/raft.h
@@ -197,15 +197,15 @@
 /** The next committed entry or snapshot; false if there is none. */
 bool raft_next_committed(struct raft *raft, struct raft_committed *out);
 
-/** Whether the caller should call raft_snapshot_done() with a snapshot now. */
-bool raft_need_snapshot(const struct raft *raft);
+/** Whether the caller should call raft_set_snapshot() with a snapshot now. */
+bool raft_needs_snapshot(const struct raft *raft);
 
 /**
  * Store a snapshot of the state machine, taken at `index`, the last entry that
  * raft_next_committed() returned.
  */
-void raft_snapshot_done(struct raft *raft, int64_t index, const char *data,
-			size_t len, int64_t now_us, struct effects *effects);
+void raft_set_snapshot(struct raft *raft, int64_t index, const char *data,
+		       size_t len, int64_t now_us, struct effects *effects);
 
 /**
  * Change the membership at an operator's request; leader only.
--- a/libfilberthall/agree/raft_election.c
+++ b/libfilberthall/agree/raft_election.c
@@ -68,7 +68,7 @@
 	raft->role = RAFT_FOLLOWER;
 	raft->leader = leader;
 	raft->transferring = false;
-	lease_lost(&raft->lease);
+	lease_end(&raft->lease);
 	members_clear(&raft->joining);
 	raft_clear_votes(raft);
 	list_foreach(peer, &raft->peers, node)
--- a/libfilberthall/agree/raft_follow.c
+++ b/libfilberthall/agree/raft_follow.c
@@ -116,8 +116,8 @@
 	if (!message->age_us || !message->echo_us ||
 	    raft->verified < message->commit)
 		return;
-	fresh_us = message->echo_us -
-		   lease_stretch(message->age_us - 1, raft->options.drift_ppm);
+	fresh_us = message->echo_us - lease_add_drift(message->age_us - 1,
+						      raft->options.drift_ppm);
 	if (fresh_us > raft->fresh_us)
 		raft->fresh_us = fresh_us;
 }
--- a/libfilberthall/agree/raft_learner.c
+++ b/libfilberthall/agree/raft_learner.c
@@ -184,18 +184,18 @@
 void raft_tick_learner(struct raft *raft, int64_t now_us,
 		       struct effects *effects)
 {
-	int64_t beat_us = raft->options.learner_heartbeat_us;
+	int64_t interval_us = raft->options.learner_heartbeat_us;
 
 	if (raft_is_voter(raft) && !raft->removed)
 		return;
 	if (now_us - raft->upstream_contact_us <
-	    RAFT_SILENT_HEARTBEATS * beat_us) {
+	    RAFT_SILENT_HEARTBEATS * interval_us) {
 		raft->upstream_attempt = 0;
 		return;
 	}
 	if (now_us < raft->subscribe_at_us)
 		return;
-	raft->subscribe_at_us = now_us + beat_us;
+	raft->subscribe_at_us = now_us + interval_us;
 	raft_subscribe(raft, now_us, effects);
 }
 
@@ -272,16 +272,16 @@
 			       struct effects *effects)
 {
 	size_t known = raft->members.count;
-	struct members told = { 0 };
+	struct members received = { 0 };
 
 	if (peer->id != raft->upstream || raft_log_last(&raft->log) ||
-	    !members_decode(&told, message->data, message->len))
+	    !members_decode(&received, message->data, message->len))
 		return;
 	raft->leader = message->leader;
 	members_clear(&raft->members);
-	raft->members = told;
+	raft->members = received;
 	raft_members_changed(raft, effects);
-	if (told.count != known)
+	if (received.count != known)
 		raft->upstream_attempt = 0;
 }
 
@@ -329,12 +329,13 @@
 static bool raft_report_due(const struct raft *raft,
 			    const struct raft_peer *peer, int64_t now_us)
 {
-	int64_t beat_us = raft->options.learner_heartbeat_us;
+	int64_t interval_us = raft->options.learner_heartbeat_us;
 
 	return (peer->downstream || peer->reported_by_child) &&
 	       now_us - peer->last_contact_us < raft_upstream_age_limit(raft) &&
 	       (peer->applied != peer->reported_applied ||
-		now_us - peer->reported_us >= RAFT_REPORT_HEARTBEATS * beat_us);
+		now_us - peer->reported_us >=
+			RAFT_REPORT_HEARTBEATS * interval_us);
 }
 
 /** Add the state of downstream learners to a message to our upstream. */
--- a/libfilberthall/agree/raft_member.c
+++ b/libfilberthall/agree/raft_member.c
@@ -249,14 +249,14 @@
 			    int64_t now_us)
 {
 	const struct raft_peer *peer = raft_peer_find(raft, id);
-	int64_t beat_us = raft->options.heartbeat_us;
+	int64_t interval_us = raft->options.heartbeat_us;
 
 	if (!peer)
 		return false;
 	if (!peer->is_voter)
-		beat_us = raft->options.learner_heartbeat_us;
+		interval_us = raft->options.learner_heartbeat_us;
 	return now_us - peer->last_answered_us <=
-	       RAFT_PRESENT_HEARTBEATS * beat_us;
+	       RAFT_PRESENT_HEARTBEATS * interval_us;
 }
 
 static void raft_repair(struct raft *raft, int64_t now_us,
@@ -343,7 +343,7 @@
 void raft_on_join(struct raft *raft, const struct raft_message *message,
 		  struct effects *effects)
 {
-	struct raft_message onward = {
+	struct raft_message forwarded = {
 		.kind = RAFT_JOIN,
 		.term = raft->term,
 		.offset = message->offset + 1,
@@ -363,7 +363,7 @@
 	if (!next || !next->up)
 		next = raft_peer_find(raft, raft->upstream);
 	if (next && next->up && message->offset < RAFT_JOIN_HOPS)
-		raft_send(raft, next->id, &onward, effects);
+		raft_send(raft, next->id, &forwarded, effects);
 }
 
 /**
--- a/libfilberthall/agree/raft_replicate.c
+++ b/libfilberthall/agree/raft_replicate.c
@@ -46,7 +46,7 @@
 
 	if (fresh_us <= RAFT_NEVER / 2)
 		return 0;
-	return lease_stretch(now_us - fresh_us, raft->options.drift_ppm) + 1;
+	return lease_add_drift(now_us - fresh_us, raft->options.drift_ppm) + 1;
 }
 
 static void raft_select_entries(const struct raft *raft,
--- a/libfilberthall/agree/raft_snapshot.c
+++ b/libfilberthall/agree/raft_snapshot.c
@@ -76,15 +76,15 @@
 	return raft_snapshot_members(raft);
 }
 
-bool raft_need_snapshot(const struct raft *raft)
+bool raft_needs_snapshot(const struct raft *raft)
 {
 	return raft->log.bytes >= raft->options.snapshot_bytes &&
 	       raft->applied - raft->options.keep_entries >= raft->log.first &&
 	       raft->applied > raft->snapshot_index;
 }
 
-void raft_snapshot_done(struct raft *raft, int64_t index, const char *data,
-			size_t len, int64_t now_us, struct effects *effects)
+void raft_set_snapshot(struct raft *raft, int64_t index, const char *data,
+		       size_t len, int64_t now_us, struct effects *effects)
 {
 	struct members members;
 
--- a/libfilberthall/agree/repair.c
+++ b/libfilberthall/agree/repair.c
@@ -64,13 +64,13 @@
 			   const struct member *member)
 {
 	const struct member_health *health = repair_health(view, member->id);
-	int64_t patience_us = view->policy->voter_timeout_us;
+	int64_t timeout_us = view->policy->voter_timeout_us;
 
 	if (health && health->disk_failed)
 		return true;
 	if (repair_is_superseded(view, member))
-		patience_us /= 4;
-	return repair_is_unreachable(view, member->id, patience_us);
+		timeout_us /= 4;
+	return repair_is_unreachable(view, member->id, timeout_us);
 }
 
 static int repair_live_voters(const struct repair_input *view)
@@ -354,12 +354,12 @@
 
 	for (i = 0; i < view->members->count; i++) {
 		const struct member *member = &view->members->items[i];
-		int64_t patience_us = view->policy->learner_timeout_us;
+		int64_t timeout_us = view->policy->learner_timeout_us;
 
 		if (repair_is_superseded(view, member))
-			patience_us = view->policy->voter_timeout_us / 4;
+			timeout_us = view->policy->voter_timeout_us / 4;
 		if (member->role == MEMBER_LEARNER &&
-		    repair_is_unreachable(view, member->id, patience_us))
+		    repair_is_unreachable(view, member->id, timeout_us))
 			return repair_step(MEMBER_REMOVE, member,
 					   "unreachable learner");
 	}
--- a/libfilberthall/agree/schema.c
+++ b/libfilberthall/agree/schema.c
@@ -114,8 +114,8 @@
 }
 
 /* Describe the values that a field allows. */
-static void schema_allowed(const struct schema_field *field, char *text,
-			   size_t size)
+static void schema_describe_allowed(const struct schema_field *field,
+				    char *text, size_t size)
 {
 	switch (field->kind) {
 	case VALUE_INT:
@@ -166,8 +166,8 @@
 	return value >= field->min && value <= field->max;
 }
 
-static bool schema_type_holds(const struct schema_field *field,
-			      const json_t *value)
+static bool schema_type_matches(const struct schema_field *field,
+				const json_t *value)
 {
 	const char *text = json_string_value(value);
 
@@ -277,14 +277,14 @@
 {
 	char shown[128];
 
-	if (schema_type_holds(field, value))
+	if (schema_type_matches(field, value))
 		return field->kind == VALUE_LIST && field->item
 			       ? schema_check_list(path, name, field, value,
 						   fault)
 			       : RESULT_OK;
 	schema_format_value(value, shown, sizeof(shown));
 	snprintf(fault->reason, sizeof(fault->reason), "is %s", shown);
-	schema_allowed(field, fault->allowed, sizeof(fault->allowed));
+	schema_describe_allowed(field, fault->allowed, sizeof(fault->allowed));
 	return schema_set_fault(fault, RESULT_SETTING_VALUE, path, name);
 }
 
@@ -300,7 +300,8 @@
 			continue;
 		snprintf(name, sizeof(name), "%s%s", prefix, field->name);
 		snprintf(fault->reason, sizeof(fault->reason), "is missing");
-		schema_allowed(field, fault->allowed, sizeof(fault->allowed));
+		schema_describe_allowed(field, fault->allowed,
+					sizeof(fault->allowed));
 		return schema_set_fault(fault, RESULT_SETTING_VALUE, path,
 					name);
 	}
@@ -403,7 +404,7 @@
 		char allowed[256];
 		char fallback[32] = "";
 
-		schema_allowed(fields, allowed, sizeof(allowed));
+		schema_describe_allowed(fields, allowed, sizeof(allowed));
 		if (fields->required)
 			snprintf(fallback, sizeof(fallback), "required");
 		else if (fields->kind == VALUE_BOOL)
--- a/libfilberthall/agree/settings.c
+++ b/libfilberthall/agree/settings.c
@@ -148,8 +148,8 @@
  * All settings at or below `prefix`, sorted by path; the caller frees the
  * array.
  */
-static struct setting **settings_sorted(const struct settings *settings,
-					const char *prefix, size_t *n)
+static struct setting **settings_list_sorted(const struct settings *settings,
+					     const char *prefix, size_t *n)
 {
 	struct setting **sorted =
 		xcalloc(settings->paths.count + 1, sizeof(struct setting *));
@@ -171,7 +171,7 @@
 	size_t n;
 	size_t i;
 
-	sorted = settings_sorted(settings, prefix, &n);
+	sorted = settings_list_sorted(settings, prefix, &n);
 	for (i = 0; i < n; i++)
 		json_object_set_new(list, sorted[i]->path,
 				    json_pack("{sO sI ss}", "value",
@@ -298,7 +298,7 @@
 	size_t n;
 	size_t i;
 
-	sorted = settings_sorted(settings, "", &n);
+	sorted = settings_list_sorted(settings, "", &n);
 	for (i = 0; i < n; i++)
 		json_array_append_new(paths,
 				      json_pack("[s O I I s]", sorted[i]->path,
--- a/libfilberthall/agree/settings.h
+++ b/libfilberthall/agree/settings.h
@@ -33,10 +33,10 @@
 struct settings_item {
 	const char *path; /**< path of an object, or path/FIELD for one field */
 	json_t *value;	  /**< borrowed */
-	int64_t version;  /**< expected version; SETTINGS_ANY accepts any */
+	int64_t version; /**< expected version; SETTINGS_ANY_VERSION accepts any */
 };
 
-#define SETTINGS_ANY (-1)
+#define SETTINGS_ANY_VERSION (-1)
 
 /** Author, time and log index of a change. */
 struct settings_author {
--- a/libfilberthall/agree/settings_change.c
+++ b/libfilberthall/agree/settings_change.c
@@ -45,10 +45,10 @@
 }
 
 /* The edit of an object's path; added if there is none yet. */
-static struct setting_edit *settings_plan_edit(struct settings_plan *plan,
-					       struct settings *settings,
-					       const char *item_path,
-					       size_t len)
+static struct setting_edit *settings_plan_get_edit(struct settings_plan *plan,
+						   struct settings *settings,
+						   const char *item_path,
+						   size_t len)
 {
 	cleanup(free_ptr) char *path = xmemdup(item_path, len);
 	uint64_t hash = map_hash_text(path);
@@ -99,7 +99,7 @@
 		schema_check(item->path, item->value, &fault);
 		return settings_refuse(plan->handler, &fault);
 	}
-	edit = settings_plan_edit(plan, settings, item->path, len);
+	edit = settings_plan_get_edit(plan, settings, item->path, len);
 	if (item->path[len]) {
 		settings_edit_field(edit, item->path + len + 1, item->value);
 	} else {
@@ -159,10 +159,9 @@
 }
 
 /* Compare-and-set: each expected version must be the current one. */
-static enum result settings_plan_compare(const struct settings_plan *plan,
-					 const struct settings *settings,
-					 const struct settings_item *items,
-					 size_t n, json_t *answer)
+static enum result settings_plan_check_versions(
+	const struct settings_plan *plan, const struct settings *settings,
+	const struct settings_item *items, size_t n, json_t *answer)
 {
 	json_t *conflicts = json_array();
 	size_t i;
@@ -171,7 +170,7 @@
 		cleanup(free_ptr) char *path = NULL;
 		const struct setting *now;
 
-		if (items[i].version == SETTINGS_ANY)
+		if (items[i].version == SETTINGS_ANY_VERSION)
 			continue;
 		path = xmemdup(items[i].path,
 			       schema_object_length(items[i].path));
@@ -271,7 +270,8 @@
 	for (i = 0; i < n && code == RESULT_OK; i++)
 		code = settings_plan_item(&plan, settings, &items[i]);
 	if (code == RESULT_OK)
-		code = settings_plan_compare(&plan, settings, items, n, answer);
+		code = settings_plan_check_versions(&plan, settings, items, n,
+						    answer);
 	if (code == RESULT_OK)
 		code = settings_plan_check(&plan);
 	if (code != RESULT_OK)
@@ -300,7 +300,8 @@
 	json_object_foreach((json_t *)values, path, value) {
 		items[n].path = path;
 		items[n].value = json_is_null(value) ? NULL : value;
-		items[n++].version = codec_int(versions, path, SETTINGS_ANY);
+		items[n++].version =
+			codec_int(versions, path, SETTINGS_ANY_VERSION);
 	}
 	return settings_change(settings, items, n, author, answer, handler);
 }
--- a/libfilberthall/agree/yaml.c
+++ b/libfilberthall/agree/yaml.c
@@ -77,9 +77,9 @@
 }
 
 /* Record the position of `path`, or of a field of its object, in the file. */
-static void settings_file_note(struct settings_file *file,
-			       const struct yaml *yaml, const char *path,
-			       const char *field)
+static void settings_file_record_position(struct settings_file *file,
+					  const struct yaml *yaml,
+					  const char *path, const char *field)
 {
 	char name[2 * SETTINGS_PATH_SIZE];
 	char place[32];
@@ -93,9 +93,9 @@
  * Record the position of each field, under its name in messages:
  * "routes[2].class".
  */
-static void settings_file_note_fields(struct settings_file *file,
-				      const struct yaml *yaml, const char *path,
-				      const char *prefix)
+static void settings_file_record_fields(struct settings_file *file,
+					const struct yaml *yaml,
+					const char *path, const char *prefix)
 {
 	const struct yaml *child;
 	char field[SETTINGS_PATH_SIZE];
@@ -107,8 +107,8 @@
 		else
 			snprintf(field, sizeof(field), "%s%s%s", prefix,
 				 *prefix ? "." : "", child->key);
-		settings_file_note(file, child, path, field);
-		settings_file_note_fields(file, child, path, field);
+		settings_file_record_position(file, child, path, field);
+		settings_file_record_fields(file, child, path, field);
 	}
 }
 
@@ -137,13 +137,13 @@
 		     text);
 }
 
-static void settings_file_take(struct settings_file *file,
-			       const struct yaml *yaml, const char *path)
+static void settings_file_add_object(struct settings_file *file,
+				     const struct yaml *yaml, const char *path)
 {
 	struct schema_fault fault;
 	json_t *value = yaml_json(yaml);
 
-	settings_file_note_fields(file, yaml, path, "");
+	settings_file_record_fields(file, yaml, path, "");
 	if (!json_is_null(value) &&
 	    schema_check(path, value, &fault) != RESULT_OK)
 		settings_file_report(file, &fault);
@@ -162,9 +162,9 @@
 
 		snprintf(below, sizeof(below), "%s%s%s", path, *path ? "/" : "",
 			 child->key);
-		settings_file_note(file, child, below, "");
+		settings_file_record_position(file, child, below, "");
 		if (schema_object_length(below) == strlen(below)) {
-			settings_file_take(file, child, below);
+			settings_file_add_object(file, child, below);
 		} else if (schema_is_prefix(below) && child->kind == YAML_MAP) {
 			settings_file_walk(file, child, below);
 		} else {
@@ -207,8 +207,8 @@
 /*
  * Report a message of the settings tree, "PATH: FIELD ...", with its position.
  */
-static void settings_file_cross(void *data, enum result code,
-				const char *message)
+static void settings_file_report_tree_fault(void *data, enum result code,
+					    const char *message)
 {
 	struct settings_file *file = data;
 	char path[SETTINGS_PATH_SIZE];
@@ -229,7 +229,7 @@
 				const struct error_handler *handler)
 {
 	cleanup(settings_file_clear) struct settings_file file;
-	struct error_handler cross = { settings_file_cross, &file };
+	struct error_handler cross = { settings_file_report_tree_fault, &file };
 	struct settings_author author = { .index = 1 };
 	struct settings *settings;
 	json_t *answer;
--- a/libfilberthall/control/control.c
+++ b/libfilberthall/control/control.c
@@ -189,8 +189,8 @@
 	struct bytes state = { 0 };
 
 	ledger_save(&control->ledger, &state);
-	raft_snapshot_done(control->raft, raft_applied_index(control->raft),
-			   state.data, state.len, now_us, effects);
+	raft_set_snapshot(control->raft, raft_applied_index(control->raft),
+			  state.data, state.len, now_us, effects);
 	bytes_clear(&state);
 }
 
@@ -237,7 +237,7 @@
 		control_document_applied(control, committed.index,
 					 committed.term, effects);
 	}
-	if (raft_need_snapshot(control->raft))
+	if (raft_needs_snapshot(control->raft))
 		take_snapshot(control, now_us, effects);
 	if (control->told_index != raft_members_index(control->raft))
 		control_tell_members(control, effects);
--- a/libfilberthall/core/consensus.c
+++ b/libfilberthall/core/consensus.c
@@ -261,13 +261,13 @@
 		else if (committed.kind == RAFT_COMMITTED_SNAPSHOT)
 			consensus_install_snapshot(core, &committed);
 	}
-	if (raft_need_snapshot(core->raft)) {
+	if (raft_needs_snapshot(core->raft)) {
 		struct bytes state = { 0 };
 
 		agreed_snapshot(core->agreed, &state);
-		raft_snapshot_done(core->raft, raft_applied_index(core->raft),
-				   state.data, state.len, core->now_us,
-				   core->effects);
+		raft_set_snapshot(core->raft, raft_applied_index(core->raft),
+				  state.data, state.len, core->now_us,
+				  core->effects);
 		bytes_clear(&state);
 	}
 }
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -340,7 +340,8 @@
 
 	if (!command)
 		operator_refuse(core, call, RESULT_NO_ROUTE, "no such command");
-	else if (command->whole_site && key_reaches(call->key, "site/cluster"))
+	else if (command->whole_site &&
+		 key_covers_path(call->key, "site/cluster"))
 		operator_refuse(core, call, RESULT_PATH_FORBIDDEN,
 				"this needs a key for the whole site");
 	else if (command->leader && !raft_is_leader(core->raft))
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -290,8 +290,8 @@
 {
 	enum result code;
 
-	code = claims_probe(agreed_claims(core->agreed), request->claim_id,
-			    request->event->u.request.body_hash);
+	code = claims_check_open(agreed_claims(core->agreed), request->claim_id,
+				 request->event->u.request.body_hash);
 	if (code)
 		request_handle_claim_state(core, request, code);
 	else
--- a/tests/agree/sim_check.c
+++ b/tests/agree/sim_check.c
@@ -56,12 +56,12 @@
 	struct sim_node *node = &sim->nodes[at];
 	struct effects effects;
 
-	if (!raft_need_snapshot(node->raft))
+	if (!raft_needs_snapshot(node->raft))
 		return;
 	effects_init(&effects);
-	raft_snapshot_done(node->raft, node->state.index,
-			   (const char *)&node->state, sizeof(node->state),
-			   sim_clock(sim, node), &effects);
+	raft_set_snapshot(node->raft, node->state.index,
+			  (const char *)&node->state, sizeof(node->state),
+			  sim_clock(sim, node), &effects);
 	sim->stats->snapshots++;
 	sim_carry_out(sim, at, &effects);
 }
--- a/tests/agree/t-lease.c
+++ b/tests/agree/t-lease.c
@@ -89,7 +89,7 @@
 
 	lease_elected(&lease, 3, 0);
 	lease_renew(&lease, 20000 * MS);
-	lease_lost(&lease);
+	lease_end(&lease);
 	lease_renew(&lease, 20500 * MS);
 	g_assert_false(lease_may_order(&lease, 0, 20500 * MS));
 }
--- a/tests/agreed/t-claim-naive.c
+++ b/tests/agreed/t-claim-naive.c
@@ -220,12 +220,12 @@
 		test_id(id, i);
 		claim = claims_find(claims, id);
 		g_assert_cmpint(!claim, ==, !expected->used);
-		g_assert_cmpint(claims_probe(claims, id, "b1"), ==,
+		g_assert_cmpint(claims_check_open(claims, id, "b1"), ==,
 				naive_probe(naive, i, "b1"));
 		if (!claim)
 			continue;
 		g_assert_cmpint(claim->state, ==, expected->state);
-		g_assert_cmpint(claim->kept, ==, expected->kept);
+		g_assert_cmpint(claim->has_answer, ==, expected->kept);
 		g_assert_cmpint(claim->changed_us, ==, expected->changed_us);
 	}
 }
