--- a/tests/agree/sim.c
+++ b/tests/agree/sim.c
@@ -93,7 +93,7 @@
 
 static int64_t sim_delay(struct sim *sim)
 {
-	if (!sim->calm && rng_below(&sim->rng, 100) < 3)
+	if (!sim->faults_stopped && rng_below(&sim->rng, 100) < 3)
 		return (int64_t)rng_below(&sim->rng, 2500000);
 	return 500 + (int64_t)rng_below(&sim->rng, 8000);
 }
@@ -105,7 +105,7 @@
 
 	if (to < 0 || sim->cut[from][to])
 		return;
-	if (!sim->calm && rng_below(&sim->rng, 100) < 2)
+	if (!sim->faults_stopped && rng_below(&sim->rng, 100) < 2)
 		copies = (int)rng_below(&sim->rng, 2) * 2;
 	while (copies--) {
 		struct sim_event event = {
@@ -138,7 +138,8 @@
 				   .ticket = ticket };
 
 	event.at_us = sim->now_us + 200 +
-		      (int64_t)rng_below(&sim->rng, sim->calm ? 3000 : 40000);
+		      (int64_t)rng_below(&sim->rng,
+					 sim->faults_stopped ? 3000 : 40000);
 	if (event.at_us <= at->synced_at_us)
 		event.at_us = at->synced_at_us + 1;
 	at->synced_at_us = event.at_us;
@@ -369,7 +370,7 @@
 	int64_t until_us = sim->now_us + SIM_CALM_US;
 	int64_t target;
 
-	sim->calm = true;
+	sim->faults_stopped = true;
 	sim_heal(sim);
 	target = sim->n_known + 10;
 	while (!sim->violation && sim->now_us < until_us) {
--- a/tests/agree/sim_fault.c
+++ b/tests/agree/sim_fault.c
@@ -117,7 +117,7 @@
 
 void sim_on_wake(struct sim *sim, int leader, int64_t phase)
 {
-	if (sim->calm)
+	if (sim->faults_stopped)
 		return;
 	if (phase == SIM_KILL) {
 		sim_crash(sim, leader);
@@ -142,15 +142,15 @@
  */
 void sim_on_elected(struct sim *sim, int leader)
 {
-	if (sim->kills > 0 && !sim->calm) {
-		sim->kills--;
+	if (sim->leader_crashes_left > 0 && !sim->faults_stopped) {
+		sim->leader_crashes_left--;
 		sim_wake(sim, leader, SIM_KILL,
 			 (int64_t)rng_below(&sim->rng, 80000));
 		return;
 	}
-	if (!sim->ambush || sim->calm)
+	if (!sim->cut_next_leader || sim->faults_stopped)
 		return;
-	sim->ambush = false;
+	sim->cut_next_leader = false;
 	sim_cut_and_restart_others(sim, leader, leader);
 }
 
@@ -271,13 +271,13 @@
 {
 	if (!sim->options.lease_faults || sim->now_us < sim->quiet_until_us)
 		return sim->options.lease_faults;
-	if (!sim->mended) {
+	if (!sim->links_restored) {
 		sim_mend(sim);
 		sim->quiet_until_us = sim->now_us + 3000000;
 	} else {
 		sim_isolate_voter(sim);
 	}
-	sim->mended = !sim->mended;
+	sim->links_restored = !sim->links_restored;
 	return true;
 }
 
@@ -297,10 +297,10 @@
 		sim_cut_in_two(sim);
 		break;
 	case 4:
-		sim->ambush = true;
+		sim->cut_next_leader = true;
 		break;
 	case 15:
-		sim->kills = 5;
+		sim->leader_crashes_left = 5;
 		sim_crash(sim, sim_any(sim));
 		break;
 	case 5:
--- a/tests/agree/sim_internal.h
+++ b/tests/agree/sim_internal.h
@@ -58,11 +58,11 @@
 	size_t heap_size;
 	struct sim_node nodes[SIM_NODES];
 	bool cut[SIM_NODES][SIM_NODES]; /* [from][to] */
-	bool calm;
+	bool faults_stopped;
 	int isolated_voter; /* voter without a link to the leader */
-	bool ambush;
-	bool mended;
-	int kills; /*
+	bool cut_next_leader;
+	bool links_restored;
+	int leader_crashes_left; /*
 	 * how many leaders will still crash right after their election
 	 */
 	int64_t quiet_until_us;
--- a/tests/agree/t-raft-tree.c
+++ b/tests/agree/t-raft-tree.c
@@ -9,7 +9,7 @@
 #define ZONES 3
 #define SECOND 1000000
 
-struct letter {
+struct tree_event {
 	struct list node;
 	int from;
 	int to;
@@ -22,7 +22,7 @@
 	bool dead[MEMBERS];
 	int64_t sent[MEMBERS]; /* messages sent so far */
 	int64_t now_us;
-	struct list letters;
+	struct list events;
 };
 
 static int slot_of(uint64_t id)
@@ -55,42 +55,42 @@
 	struct effect *effect;
 
 	while ((effect = effects_take(effects))) {
-		struct letter *letter = xcalloc(1, sizeof(*letter));
+		struct tree_event *event = xcalloc(1, sizeof(*event));
 
-		letter->from = at;
-		letter->to = at;
+		event->from = at;
+		event->to = at;
 		if (effect->kind == EFFECT_SEND) {
-			letter->to = slot_of(effect->u.send.peer);
-			letter->body = bytes_copy(&effect->u.send.body);
+			event->to = slot_of(effect->u.send.peer);
+			event->body = bytes_copy(&effect->u.send.body);
 			tree->sent[at]++;
 		} else if (effect->kind == EFFECT_LOG_SYNC) {
-			letter->ticket = effect->u.log_sync.ticket;
+			event->ticket = effect->u.log_sync.ticket;
 		} else {
-			free(letter);
-			letter = NULL;
+			free(event);
+			event = NULL;
 		}
-		if (letter)
-			list_append(&tree->letters, &letter->node);
+		if (event)
+			list_append(&tree->events, &event->node);
 		if (effect->kind == EFFECT_LINK_OPEN)
 			tree_link(tree, at, slot_of(effect->u.link_open.peer));
 		effect_free(effect);
 	}
 }
 
-static void tree_deliver(struct tree *tree, struct letter *letter)
+static void tree_deliver(struct tree *tree, struct tree_event *event)
 {
-	struct raft *raft = tree->rafts[letter->to];
+	struct raft *raft = tree->rafts[event->to];
 	struct effects effects;
 
-	if (tree->dead[letter->to] || tree->dead[letter->from])
+	if (tree->dead[event->to] || tree->dead[event->from])
 		return;
 	effects_init(&effects);
-	if (letter->to == letter->from)
-		raft_synced(raft, letter->ticket, tree->now_us, &effects);
+	if (event->to == event->from)
+		raft_synced(raft, event->ticket, tree->now_us, &effects);
 	else
-		raft_message(raft, id_of(letter->from), letter->body.data,
-			     letter->body.len, tree->now_us, &effects);
-	tree_carry_out(tree, letter->to, &effects);
+		raft_message(raft, id_of(event->from), event->body.data,
+			     event->body.len, tree->now_us, &effects);
+	tree_carry_out(tree, event->to, &effects);
 }
 
 /*
@@ -104,20 +104,20 @@
 
 	for (; tree->now_us < until_us; tree->now_us += 1000) {
 		struct list round;
-		struct letter *letter;
+		struct tree_event *event;
 		int i;
 
 		list_init(&round);
-		while ((letter = list_first(&tree->letters, struct letter,
-					    node))) {
-			list_remove(&letter->node);
-			list_append(&round, &letter->node);
+		while ((event = list_first(&tree->events, struct tree_event,
+					   node))) {
+			list_remove(&event->node);
+			list_append(&round, &event->node);
 		}
-		while ((letter = list_first(&round, struct letter, node))) {
-			list_remove(&letter->node);
-			tree_deliver(tree, letter);
-			bytes_clear(&letter->body);
-			free(letter);
+		while ((event = list_first(&round, struct tree_event, node))) {
+			list_remove(&event->node);
+			tree_deliver(tree, event);
+			bytes_clear(&event->body);
+			free(event);
 		}
 		for (i = 0; i < MEMBERS; i++) {
 			struct effects effects;
@@ -141,7 +141,7 @@
 	int i;
 
 	memset(tree, 0, sizeof(*tree));
-	list_init(&tree->letters);
+	list_init(&tree->events);
 	for (i = 0; i < MEMBERS; i++) {
 		struct raft_options options = raft_default_options();
 
@@ -163,13 +163,13 @@
 
 static void tree_clear(struct tree *tree)
 {
-	struct letter *letter;
+	struct tree_event *event;
 	int i;
 
-	while ((letter = list_first(&tree->letters, struct letter, node))) {
-		list_remove(&letter->node);
-		bytes_clear(&letter->body);
-		free(letter);
+	while ((event = list_first(&tree->events, struct tree_event, node))) {
+		list_remove(&event->node);
+		bytes_clear(&event->body);
+		free(event);
 	}
 	for (i = 0; i < MEMBERS; i++)
 		raft_free(tree->rafts[i]);
@@ -261,7 +261,7 @@
  * Upstream VMs die: their downstream learners, on which a withdrawn key would
  * stay valid, must find another upstream within seconds.
  */
-static void those_behind_a_dead_feeder_find_another(void)
+static void downstreams_of_a_dead_upstream_find_another(void)
 {
 	struct tree tree;
 	int i;
@@ -294,7 +294,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/raft-tree/change", change_reaches_all_within_seconds);
 	g_test_add_func("/raft-tree/dead-feeder",
-			those_behind_a_dead_feeder_find_another);
+			downstreams_of_a_dead_upstream_find_another);
 	g_test_add_func("/raft-tree/leader", all_follow_the_next_leader);
 	return g_test_run();
 }
--- a/tests/agree/t-raft.c
+++ b/tests/agree/t-raft.c
@@ -70,7 +70,7 @@
 	raft_free(raft);
 }
 
-static bool vote_told_before_sync(enum raft_mutant mutant)
+static bool vote_sent_before_sync(enum raft_mutant mutant)
 {
 	struct raft_message vote = {
 		.kind = RAFT_VOTE, .term = 9, .index = 99, .log_term = 8
@@ -97,10 +97,10 @@
  * Guards against two leaders in a term: a voter sends its vote, crashes before
  * the vote is on the disk, and votes again for another candidate.
  */
-static void vote_is_told_after_its_sync(void)
+static void vote_is_sent_after_its_sync(void)
 {
-	g_assert_false(vote_told_before_sync(RAFT_MUTANT_NONE));
-	g_assert_true(vote_told_before_sync(RAFT_MUTANT_VOTE_BEFORE_SYNC));
+	g_assert_false(vote_sent_before_sync(RAFT_MUTANT_NONE));
+	g_assert_true(vote_sent_before_sync(RAFT_MUTANT_VOTE_BEFORE_SYNC));
 }
 
 static bool granted_after_restart(enum raft_mutant mutant, int64_t now_us)
@@ -172,7 +172,7 @@
  * leader has replaced that entry meanwhile, its commit index must not commit
  * ours.
  */
-static void feeder_confirms_only_what_is_committed(void)
+static void upstream_confirms_only_what_is_committed(void)
 {
 	struct raft_message fed = { .kind = RAFT_APPEND,
 				    .term = 2,
@@ -337,11 +337,12 @@
 			entry_of_an_earlier_term_is_not_committed_alone);
 	g_test_add_func("/raft/failed-disk",
 			failed_disk_ends_all_acknowledgements);
-	g_test_add_func("/raft/vote-sync", vote_is_told_after_its_sync);
+	g_test_add_func("/raft/vote-sync", vote_is_sent_after_its_sync);
 	g_test_add_func("/raft/restart-wait",
 			restarted_voter_waits_before_it_votes);
 	g_test_add_func("/raft/drift", read_lease_leaves_room_for_drift);
-	g_test_add_func("/raft/feeder", feeder_confirms_only_what_is_committed);
+	g_test_add_func("/raft/feeder",
+			upstream_confirms_only_what_is_committed);
 	g_test_add_func("/raft/diskless", member_without_a_disk_never_votes);
 	g_test_add_func("/raft/malformed", malformed_messages_change_nothing);
 	g_test_add_func("/raft/one-change", members_change_one_at_a_time);
--- a/tests/agree/t-thread-wal.c
+++ b/tests/agree/t-thread-wal.c
@@ -3,24 +3,25 @@
 
 #include "disk.h"
 
-struct waiting {
+struct sync_wait {
 	pthread_mutex_t mutex;
 	pthread_cond_t changed;
 	int64_t synced;
 };
 
-static void told_synced(void *data, int64_t ticket)
+static void record_synced_ticket(void *data, int64_t ticket)
 {
-	struct waiting *waiting = data;
+	struct sync_wait *wait = data;
 
-	pthread_mutex_lock(&waiting->mutex);
-	g_assert_cmpint(ticket, >, waiting->synced);
-	waiting->synced = ticket;
-	pthread_cond_signal(&waiting->changed);
-	pthread_mutex_unlock(&waiting->mutex);
+	pthread_mutex_lock(&wait->mutex);
+	g_assert_cmpint(ticket, >, wait->synced);
+	wait->synced = ticket;
+	pthread_cond_signal(&wait->changed);
+	pthread_mutex_unlock(&wait->mutex);
 }
 
-static void told_failed(void *data, enum result code, const char *message)
+static void report_wal_failure(void *data, enum result code,
+			       const char *message)
 {
 	g_error("%s", message);
 }
@@ -28,8 +29,8 @@
 static void disk_thread_serves_many_tickets_by_few_syncs(void)
 {
 	struct wal_options options = wal_default_options();
-	struct waiting waiting = { PTHREAD_MUTEX_INITIALIZER,
-				   PTHREAD_COND_INITIALIZER, 0 };
+	struct sync_wait waiting = { PTHREAD_MUTEX_INITIALIZER,
+				     PTHREAD_COND_INITIALIZER, 0 };
 	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
@@ -37,8 +38,8 @@
 
 	disk_init(&disk);
 	options.folder = disk.folder;
-	options.synced = told_synced;
-	options.failed = told_failed;
+	options.synced = record_synced_ticket;
+	options.failed = report_wal_failure;
 	options.data = &waiting;
 	g_assert_cmpint(wal_open(&options, &saved, &wal), ==, RESULT_OK);
 	g_assert_cmpint(wal_start(wal), ==, RESULT_OK);
