--- a/libfilberthall/fleet/registry.h
+++ b/libfilberthall/fleet/registry.h
@@ -92,7 +92,7 @@
  *			marked as gone, or NULL
  */
 enum registry_outcome registry_update(struct registry *registry,
-				      const struct registration *told,
+				      const struct registration *update,
 				      int64_t heard_us,
 				      struct registry_entry **replaced);
 
