--- a/libfilberthall/fleet/drain.c
+++ b/libfilberthall/fleet/drain.c
@@ -90,7 +90,7 @@
 	if (!drain || drain->state == DRAIN_STOPPING)
 		return false;
 	if (drain->state == DRAIN_DRAINING)
-		drains->hooks.mark(drains->hooks.data, address, false);
+		drains->hooks.set_drained(drains->hooks.data, address, false);
 	drain_free(drain);
 	return true;
 }
@@ -173,7 +173,8 @@
 		drain->state = DRAIN_DRAINING;
 		drain->began_us = now_us;
 		drain->deadline_us = now_us + policy->drain_us;
-		drains->hooks.mark(drains->hooks.data, drain->address, true);
+		drains->hooks.set_drained(drains->hooks.data, drain->address,
+					  true);
 	} else if (drain->state == DRAIN_DRAINING &&
 		   (drain_is_empty(drain, backend) ||
 		    (policy->cut && now_us >= drain->deadline_us))) {
--- a/libfilberthall/fleet/drain.h
+++ b/libfilberthall/fleet/drain.h
@@ -44,7 +44,7 @@
 
 struct drain_hooks {
 	/** Stop or resume new requests to the server, on all daemons. */
-	void (*mark)(void *data, const char *address, bool drained);
+	void (*set_drained)(void *data, const char *address, bool drained);
 	/** Order the stop: the server is idle, or its deadline has passed. */
 	void (*stop)(void *data, const char *address);
 	void *data;
--- a/libfilberthall/fleet/order.c
+++ b/libfilberthall/fleet/order.c
@@ -31,9 +31,9 @@
 struct orders {
 	struct order_hooks hooks;
 	struct list sent;
-	bool marked; /**< orders of earlier holders are rejected */
+	bool fenced; /**< orders of earlier holders are rejected */
 	bool ready;
-	int64_t mark_next_us;
+	int64_t fence_next_us;
 	int64_t list_next_us;
 	int64_t sequence;
 };
@@ -69,9 +69,9 @@
 		sent->retry_us = ORDER_RETRY_US;
 		sent->proposed[0] = '\0';
 	}
-	orders->marked = false;
+	orders->fenced = false;
 	orders->ready = false;
-	orders->mark_next_us = 0;
+	orders->fence_next_us = 0;
 	orders->list_next_us = 0;
 }
 
@@ -322,21 +322,21 @@
 {
 	cleanup(free_ptr) char *id =
 		xstrfmt("charge-%lld", (long long)situation->fence);
-	json_t *mark;
+	json_t *fence_entry;
 
 	if (order_book_find(situation->book, id)) {
-		orders->marked = true;
+		orders->fenced = true;
 		orders->hooks.settle(orders->hooks.data, id, "done", "");
 		return;
 	}
-	if (situation->now_us < orders->mark_next_us)
+	if (situation->now_us < orders->fence_next_us)
 		return;
-	orders->mark_next_us = situation->now_us + ORDER_RETRY_US;
-	mark = json_pack("{ss sI ss}", "order_id", id, "fence",
-			 (json_int_t)situation->fence, "verb",
-			 ORDER_FENCE_VERB);
-	orders->hooks.place(orders->hooks.data, mark);
-	json_decref(mark);
+	orders->fence_next_us = situation->now_us + ORDER_RETRY_US;
+	fence_entry = json_pack("{ss sI ss}", "order_id", id, "fence",
+				(json_int_t)situation->fence, "verb",
+				ORDER_FENCE_VERB);
+	orders->hooks.place(orders->hooks.data, fence_entry);
+	json_decref(fence_entry);
 }
 
 void orders_tick(struct orders *orders, const struct order_situation *situation,
@@ -348,9 +348,9 @@
 		order_book_visit(situation->book, orders_tick_one, &tick);
 		return;
 	}
-	if (!orders->marked)
+	if (!orders->fenced)
 		orders_place_fence(orders, situation);
-	if (!orders->marked || situation->now_us < orders->list_next_us ||
+	if (!orders->fenced || situation->now_us < orders->list_next_us ||
 	    !order_fits_lease(situation))
 		return;
 	order_call(ORDER_LIST_ID, "list", situation, NULL, effects);
--- a/libfilberthall/fleet/reclaim.c
+++ b/libfilberthall/fleet/reclaim.c
@@ -100,8 +100,8 @@
 		list_append(&reclaim->servers, &server->node);
 		reclaims->counts.servers++;
 		reclaims->counts.running += backend->running;
-		reclaims->hooks.mark(reclaims->hooks.data, server->address,
-				     true);
+		reclaims->hooks.set_drained(reclaims->hooks.data,
+					    server->address, true);
 	}
 }
 
--- a/libfilberthall/fleet/reclaim.h
+++ b/libfilberthall/fleet/reclaim.h
@@ -27,7 +27,7 @@
 
 struct reclaim_hooks {
 	/** Stop or resume new requests to this server. */
-	void (*mark)(void *data, const char *address, bool drained);
+	void (*set_drained)(void *data, const char *address, bool drained);
 	/** Retry its requests on other servers: router_backend_lost(). */
 	void (*move)(void *data, const char *address);
 	void *data;
--- a/libfilberthall/fleet/registry.c
+++ b/libfilberthall/fleet/registry.c
@@ -44,12 +44,13 @@
 	entry->registration.gone = true;
 }
 
-void registry_init(struct registry *registry, int64_t beat_us)
+void registry_init(struct registry *registry, int64_t announce_interval_us)
 {
 	map_init(&registry->by_id);
 	map_init(&registry->by_address);
 	map_init(&registry->by_short_id);
-	registry->timeout_us = REGISTRY_TIMEOUT_INTERVALS * beat_us;
+	registry->timeout_us =
+		REGISTRY_TIMEOUT_INTERVALS * announce_interval_us;
 	if (registry->timeout_us < REGISTRY_TIMEOUT_MIN_US)
 		registry->timeout_us = REGISTRY_TIMEOUT_MIN_US;
 	registry->last_contact_us = INT64_MIN / 2;
@@ -89,42 +90,44 @@
 
 /* A start that is gone stays so, whichever of its messages still arrive. */
 static bool is_stale(const struct registry_entry *known,
-		     const struct registration *told)
+		     const struct registration *update)
 {
-	if (told->started_ms != known->registration.started_ms)
-		return told->started_ms < known->registration.started_ms;
+	if (update->started_ms != known->registration.started_ms)
+		return update->started_ms < known->registration.started_ms;
 	if (known->registration.gone)
 		return true;
-	return !told->gone && told->sequence <= known->registration.sequence;
+	return !update->gone &&
+	       update->sequence <= known->registration.sequence;
 }
 
 /* Whether to forward it; fields that change with each message don't count. */
 static bool is_news(const struct registration *before,
-		    const struct registration *told)
+		    const struct registration *update)
 {
-	return before->started_ms != told->started_ms ||
-	       before->leaving != told->leaving || before->gone != told->gone ||
-	       before->cheap != told->cheap || before->slots != told->slots ||
-	       strcmp(before->address, told->address) ||
-	       strcmp(before->service, told->service) ||
-	       strcmp(before->zone, told->zone);
+	return before->started_ms != update->started_ms ||
+	       before->leaving != update->leaving ||
+	       before->gone != update->gone || before->cheap != update->cheap ||
+	       before->slots != update->slots ||
+	       strcmp(before->address, update->address) ||
+	       strcmp(before->service, update->service) ||
+	       strcmp(before->zone, update->zone);
 }
 
-static void note_heard(struct registry *registry, struct registry_entry *entry,
-		       int64_t heard_us)
+static void note_entry_contact(struct registry *registry,
+			       struct registry_entry *entry, int64_t contact_us)
 {
-	if (heard_us > entry->last_contact_us)
-		entry->last_contact_us = heard_us;
+	if (contact_us > entry->last_contact_us)
+		entry->last_contact_us = contact_us;
 	if (registry->last_contact_us - entry->last_contact_us <=
 	    registry->timeout_us)
 		entry->timed_out = false;
-	if (heard_us > registry->last_contact_us)
-		registry->last_contact_us = heard_us;
+	if (contact_us > registry->last_contact_us)
+		registry->last_contact_us = contact_us;
 }
 
 enum registry_outcome registry_update(struct registry *registry,
 				      const struct registration *update,
-				      int64_t heard_us,
+				      int64_t contact_us,
 				      struct registry_entry **replaced)
 {
 	struct registry_entry *known = registry_find(registry, update->id);
@@ -146,7 +149,7 @@
 	if (!known) {
 		known = xcalloc(1, sizeof(*known));
 		memcpy(known->registration.id, update->id, sizeof(update->id));
-		known->last_contact_us = heard_us;
+		known->last_contact_us = contact_us;
 		map_insert(&registry->by_id, &known->node,
 			   map_hash_text(update->id));
 	}
@@ -158,7 +161,7 @@
 	known->registration = *update;
 	if (!update->gone)
 		place(registry, known);
-	note_heard(registry, known, heard_us);
+	note_entry_contact(registry, known, contact_us);
 	return news ? REGISTRY_CHANGED : REGISTRY_REFRESHED;
 }
 
@@ -172,23 +175,23 @@
 	return known;
 }
 
-void registry_note_contact(struct registry *registry, int64_t heard_us)
+void registry_note_contact(struct registry *registry, int64_t contact_us)
 {
-	if (heard_us > registry->last_contact_us)
-		registry->last_contact_us = heard_us;
+	if (contact_us > registry->last_contact_us)
+		registry->last_contact_us = contact_us;
 }
 
 struct registry_entry *registry_heartbeat(struct registry *registry,
 					  const char *id, int64_t born_ms,
-					  int64_t heard_us)
+					  int64_t contact_us)
 {
 	struct registry_entry *known = registry_find(registry, id);
 
-	registry_note_contact(registry, heard_us);
+	registry_note_contact(registry, contact_us);
 	if (!known || known->registration.started_ms != born_ms ||
 	    known->registration.gone)
 		return NULL;
-	note_heard(registry, known, heard_us);
+	note_entry_contact(registry, known, contact_us);
 	return known;
 }
 
@@ -200,16 +203,16 @@
 	       (64 - 8 * REGISTRATION_SHORT_ID_BYTES);
 }
 
-static bool mark_match(const struct map_node *node, const void *key)
+static bool short_id_match(const struct map_node *node, const void *key)
 {
 	return node->hash == *(const uint64_t *)key;
 }
 
 struct registry_entry *registry_find_short_id(const struct registry *registry,
-					      uint64_t mark)
+					      uint64_t short_id)
 {
-	struct map_node *node =
-		map_find(&registry->by_short_id, mark, mark_match, &mark);
+	struct map_node *node = map_find(&registry->by_short_id, short_id,
+					 short_id_match, &short_id);
 
 	return node ? container_of(node, struct registry_entry, short_id_node)
 		    : NULL;
@@ -233,7 +236,8 @@
 }
 
 void registry_expire(struct registry *registry, int64_t now_us,
-		     void (*silent)(void *data, struct registry_entry *entry),
+		     void (*on_timeout)(void *data,
+					struct registry_entry *entry),
 		     void *data)
 {
 	struct registry_entry *entry;
@@ -244,8 +248,8 @@
 		    registry->last_contact_us - entry->last_contact_us >
 			    registry->timeout_us) {
 			entry->timed_out = true;
-			if (silent)
-				silent(data, entry);
+			if (on_timeout)
+				on_timeout(data, entry);
 		}
 		if (!entry->registration.gone ||
 		    now_us - entry->last_contact_us < REGISTRY_TOMBSTONE_US)
--- a/libfilberthall/fleet/registry.h
+++ b/libfilberthall/fleet/registry.h
@@ -81,19 +81,19 @@
  */
 #define REGISTRY_TOMBSTONE_US INT64_C(600000000)
 
-/** `beat_us`: interval of a server's announcements, 0 if unknown. */
-void registry_init(struct registry *registry, int64_t beat_us);
+/** `announce_interval_us`: of a backend server, 0 if unknown. */
+void registry_init(struct registry *registry, int64_t announce_interval_us);
 void registry_clear(struct registry *registry);
 
 /**
- * Apply a registration that a VM received at `heard_us`.
+ * Apply a registration that a VM received at `contact_us`.
  *
  * @param replaced	set to an older start at the same address, which is
  *			marked as gone, or NULL
  */
 enum registry_outcome registry_update(struct registry *registry,
 				      const struct registration *update,
-				      int64_t heard_us,
+				      int64_t contact_us,
 				      struct registry_entry **replaced);
 
 /** Mark a server that has unregistered as gone. NULL if it is unknown. */
@@ -103,7 +103,7 @@
 /** Record contact with a start; NULL if that isn't the known one, or gone. */
 struct registry_entry *registry_heartbeat(struct registry *registry,
 					  const char *id, int64_t born_ms,
-					  int64_t heard_us);
+					  int64_t contact_us);
 
 /** Short id of a start on links: REGISTRATION_SHORT_ID_BYTES of a hash. */
 #define REGISTRATION_SHORT_ID_BYTES 5
@@ -111,10 +111,10 @@
 
 /** The entry with that short id, or NULL if there is none or it is gone. */
 struct registry_entry *registry_find_short_id(const struct registry *registry,
-					      uint64_t mark);
+					      uint64_t short_id);
 
 /** Record contact with some server, known or not. */
-void registry_note_contact(struct registry *registry, int64_t heard_us);
+void registry_note_contact(struct registry *registry, int64_t contact_us);
 
 /** Whether the server may get new requests. */
 bool registry_entry_usable(const struct registry_entry *entry);
@@ -131,11 +131,12 @@
 
 /**
  * Mark servers without contact as timed out, and free entries that are gone for
- * REGISTRY_TOMBSTONE_US. Calls `silent` (NULL is allowed) for each server that
- * has newly timed out.
+ * REGISTRY_TOMBSTONE_US. Calls `on_timeout` (NULL is allowed) for each server
+ * that has newly timed out.
  */
 void registry_expire(struct registry *registry, int64_t now_us,
-		     void (*silent)(void *data, struct registry_entry *entry),
+		     void (*on_timeout)(void *data,
+					struct registry_entry *entry),
 		     void *data);
 
 #endif
--- a/libfilberthall/fleet/target.c
+++ b/libfilberthall/fleet/target.c
@@ -288,7 +288,7 @@
 	if (!entry || zone < 0 || entry->pool.is_service != service ||
 	    backend->leaving || backend->drained)
 		return;
-	entry->have.at[zone][target_kind_of(backend->cheap)]++;
+	entry->current.at[zone][target_kind_of(backend->cheap)]++;
 	if (backend->slots > 0)
 		entry->slots = backend->slots;
 }
@@ -309,7 +309,7 @@
 	entry->starting = true;
 	zone = target_zone_at(count->target, codec_text(order, "zone", ""));
 	if (zone >= 0)
-		entry->have.at[zone][target_kind_of(
+		entry->current.at[zone][target_kind_of(
 			!strcmp(codec_text(order, "kind", ""), "cheap"))]++;
 }
 
@@ -327,7 +327,7 @@
 			int64_t servers = 0;
 
 			list_foreach(entry, &target->pools, node)
-				servers += entry->have.at[zone][kind];
+				servers += entry->current.at[zone][kind];
 			if (servers > offer->servers)
 				offer->backoff_us = 0;
 			offer->servers = servers;
@@ -343,7 +343,7 @@
 	struct backend *next;
 
 	list_foreach(entry, &target->pools, node) {
-		memset(&entry->have, 0, sizeof(entry->have));
+		memset(&entry->current, 0, sizeof(entry->current));
 		entry->starting = false;
 	}
 	map_foreach(backend, next, &fleet->backends, node)
@@ -395,8 +395,8 @@
 				.zone = target->zones[zone].name,
 				.cheap = kind == TARGET_CHEAP,
 			};
-			int64_t lack = entry->want.at[zone][kind] -
-				       entry->have.at[zone][kind];
+			int64_t lack = entry->wanted.at[zone][kind] -
+				       entry->current.at[zone][kind];
 
 			for (; lack > 0; lack--, steps++)
 				visit(data, &step);
@@ -419,8 +419,8 @@
 			const struct backend *backend = NULL;
 			struct target_step step = { 0 };
 
-			if (entry->have.at[zone][kind] >
-			    entry->want.at[zone][kind])
+			if (entry->current.at[zone][kind] >
+			    entry->wanted.at[zone][kind])
 				backend =
 					target_pick_stop(fleet, entry, name,
 							 kind == TARGET_CHEAP);
@@ -457,7 +457,7 @@
 {
 	const struct target_entry *entry = target_find(target, pool);
 
-	return entry ? target_sum(target, &entry->want, target_kind_of(cheap))
+	return entry ? target_sum(target, &entry->wanted, target_kind_of(cheap))
 		     : -1;
 }
 
--- a/libfilberthall/fleet/target_plan.c
+++ b/libfilberthall/fleet/target_plan.c
@@ -17,7 +17,7 @@
 				 const struct target_entry *entry, int zone,
 				 enum target_kind kind)
 {
-	const int64_t *want = entry->want.at[zone];
+	const int64_t *want = entry->wanted.at[zone];
 	const struct target_zone *of = &target->zones[zone];
 
 	if (want[TARGET_STEADY] + want[TARGET_CHEAP] >= of->max[TARGET_STEADY])
@@ -36,7 +36,8 @@
 			    enum target_kind kind, int64_t now_us)
 {
 	const struct target_offer *offer = &target->zones[zone].offers[kind];
-	int64_t more = entry->want.at[zone][kind] - entry->have.at[zone][kind];
+	int64_t more =
+		entry->wanted.at[zone][kind] - entry->current.at[zone][kind];
 
 	if (!target_zone_has_room(target, entry, zone, kind))
 		return false;
@@ -54,9 +55,9 @@
 static int64_t target_fill(const struct target_entry *entry, int zone,
 			   enum target_kind kind)
 {
-	int64_t want = entry->want.at[zone][kind];
+	int64_t want = entry->wanted.at[zone][kind];
 
-	return want < entry->have.at[zone][kind] ? want - 1 : want;
+	return want < entry->current.at[zone][kind] ? want - 1 : want;
 }
 
 /* Whether `zone` is preferred to `other`, which is negative for none. */
@@ -71,10 +72,10 @@
 	if (other < 0)
 		return true;
 	than = target_fill(entry, other, kind);
-	here = fill < entry->want.at[zone][kind];
+	here = fill < entry->wanted.at[zone][kind];
 	if (fill != than)
 		return fill < than;
-	if (here != (than < entry->want.at[other][kind]))
+	if (here != (than < entry->wanted.at[other][kind]))
 		return here;
 	return target->zones[zone].offers[kind].price <
 	       target->zones[other].offers[kind].price;
@@ -109,7 +110,7 @@
 
 		if (zone < 0)
 			break;
-		entry->want.at[zone][kind]++;
+		entry->wanted.at[zone][kind]++;
 	}
 	return n;
 }
@@ -143,7 +144,7 @@
 		return;
 	entry->floor = (needed + zones - 2) / (zones - 1);
 	for (zone = 0; zone < target->n_zones; zone++) {
-		int64_t *want = &entry->want.at[zone][TARGET_STEADY];
+		int64_t *want = &entry->wanted.at[zone][TARGET_STEADY];
 
 		while (*want < entry->floor &&
 		       target_may_want(target, entry, zone, TARGET_STEADY,
@@ -170,8 +171,8 @@
 {
 	double spare = target->policy.spare;
 	int64_t total = target_servers(target, entry, entry->all, spare);
-	int64_t have = target_sum(target, &entry->have, TARGET_STEADY) +
-		       target_sum(target, &entry->have, TARGET_CHEAP);
+	int64_t have = target_sum(target, &entry->current, TARGET_STEADY) +
+		       target_sum(target, &entry->current, TARGET_CHEAP);
 	double kept = entry->all + TARGET_SHRINK_MARGIN * (double)entry->slots;
 
 	if (total < have) {
@@ -192,10 +193,10 @@
 	int64_t cheap;
 	int64_t steady;
 
-	memset(&entry->want, 0, sizeof(entry->want));
+	memset(&entry->wanted, 0, sizeof(entry->wanted));
 	target_want_floor(target, entry, now_us);
-	steady = target_sum(target, &entry->want, TARGET_STEADY);
-	firm = target_clamp(target_sum(target, &entry->have, TARGET_STEADY),
+	steady = target_sum(target, &entry->wanted, TARGET_STEADY);
+	firm = target_clamp(target_sum(target, &entry->current, TARGET_STEADY),
 			    firm, firm + 1);
 	if (firm > total)
 		firm = total;
@@ -226,7 +227,7 @@
 
 	for (zone = 0; zone < target->n_zones; zone++)
 		for (kind = 0; kind < TARGET_KINDS; kind++)
-			cost += (double)entry->want.at[zone][kind] *
+			cost += (double)entry->wanted.at[zone][kind] *
 				target->zones[zone].offers[kind].price;
 	return cost;
 }
@@ -258,7 +259,7 @@
 		if (strcmp(entry->pool.team, team) != 0)
 			continue;
 		for (zone = 0; zone < target->n_zones; zone++) {
-			int64_t spare = entry->want.at[zone][kind] - keep;
+			int64_t spare = entry->wanted.at[zone][kind] - keep;
 
 			if (spare <= above)
 				continue;
@@ -269,7 +270,7 @@
 	}
 	if (!most)
 		return false;
-	most->want.at[at][kind]--;
+	most->wanted.at[at][kind]--;
 	return true;
 }
 
--- a/libfilberthall/fleet/target_state.h
+++ b/libfilberthall/fleet/target_state.h
@@ -48,8 +48,8 @@
 	double last_all;	/**< last recorded demand */
 	double slope;		/**< slots per microsecond, smoothed */
 	int64_t last_demand_us; /**< of the last demand, 0 for none */
-	struct target_counts have;
-	struct target_counts want;
+	struct target_counts current;
+	struct target_counts wanted;
 	bool starting; /**< a start is ordered and not known to be done */
 	int64_t floor; /**< steady servers for tier 0 in each zone */
 	int64_t slots; /**< of one server, as announced */
--- a/tests/fleet/t-drain.c
+++ b/tests/fleet/t-drain.c
@@ -6,17 +6,17 @@
 
 struct seen {
 	struct fleet fleet;
-	int marks;
+	int drains;
 	int stops;
 	char stopped[64];
 };
 
-static void mark(void *data, const char *address, bool drained)
+static void set_drained(void *data, const char *address, bool drained)
 {
 	struct seen *seen = data;
 
 	fleet_drain(&seen->fleet, address, drained);
-	seen->marks += drained ? 1 : -1;
+	seen->drains += drained ? 1 : -1;
 }
 
 static void stop(void *data, const char *address)
@@ -29,7 +29,7 @@
 
 static struct drains *start(struct seen *seen)
 {
-	struct drain_hooks hooks = { mark, stop, seen };
+	struct drain_hooks hooks = { set_drained, stop, seen };
 
 	memset(seen, 0, sizeof(*seen));
 	fleet_init(&seen->fleet);
@@ -68,7 +68,7 @@
 		json_decref(list);
 	}
 	g_assert_cmpstr(seen.stopped, ==, "a:1");
-	g_assert_cmpint(seen.marks, ==, 1);
+	g_assert_cmpint(seen.drains, ==, 1);
 	drains_free(drains);
 	fleet_clear(&seen.fleet);
 }
@@ -92,7 +92,7 @@
 	drains_tick(drains, &seen.fleet, &policy, SECOND_US);
 	g_assert_true(drains_state(drains, "a:1", &state));
 	g_assert_cmpint(state, ==, DRAIN_HELD);
-	g_assert_cmpint(seen.marks, ==, 0);
+	g_assert_cmpint(seen.drains, ==, 0);
 	list = drains_describe(drains, SECOND_US);
 	g_assert_cmpstr(json_string_value(
 				json_object_get(json_array_get(list, 0),
@@ -108,7 +108,7 @@
 	g_assert_true(drains_state(drains, "b:1", &state));
 	g_assert_cmpint(state, ==, DRAIN_HELD);
 	g_assert_true(drains_cancel(drains, "a:1"));
-	g_assert_cmpint(seen.marks, ==, 0);
+	g_assert_cmpint(seen.drains, ==, 0);
 	drains_free(drains);
 	fleet_clear(&seen.fleet);
 }
--- a/tests/fleet/t-registry.c
+++ b/tests/fleet/t-registry.c
@@ -5,26 +5,28 @@
 
 #define SECOND INT64_C(1000000)
 
-static struct registration told(const char *id, const char *address,
-				int64_t born_ms, int64_t sequence)
+static struct registration make_registration(const char *id,
+					     const char *address,
+					     int64_t born_ms, int64_t sequence)
 {
-	struct registration told = { .started_ms = born_ms,
-				     .sequence = sequence,
-				     .slots = 4 };
+	struct registration registration = { .started_ms = born_ms,
+					     .sequence = sequence,
+					     .slots = 4 };
 
-	g_strlcpy(told.id, id, sizeof(told.id));
-	g_strlcpy(told.address, address, sizeof(told.address));
-	g_strlcpy(told.service, "desk", sizeof(told.service));
-	g_strlcpy(told.zone, "z1", sizeof(told.zone));
-	return told;
+	g_strlcpy(registration.id, id, sizeof(registration.id));
+	g_strlcpy(registration.address, address, sizeof(registration.address));
+	g_strlcpy(registration.service, "desk", sizeof(registration.service));
+	g_strlcpy(registration.zone, "z1", sizeof(registration.zone));
+	return registration;
 }
 
 static enum registry_outcome take(struct registry *registry,
-				  struct registration told, int64_t heard_us)
+				  struct registration registration,
+				  int64_t contact_us)
 {
 	struct registry_entry *replaced;
 
-	return registry_update(registry, &told, heard_us, &replaced);
+	return registry_update(registry, &registration, contact_us, &replaced);
 }
 
 static bool usable(const struct registry *registry, const char *id)
@@ -39,12 +41,15 @@
 	struct registry registry;
 
 	registry_init(&registry, SECOND);
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 1), 0), ==,
-			REGISTRY_CHANGED);
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 2), 1), ==,
-			REGISTRY_REFRESHED);
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 2), 2), ==,
-			REGISTRY_STALE);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 100, 1),
+			     0),
+			==, REGISTRY_CHANGED);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 100, 2),
+			     1),
+			==, REGISTRY_REFRESHED);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 100, 2),
+			     2),
+			==, REGISTRY_STALE);
 	g_assert_true(usable(&registry, "s1"));
 	registry_clear(&registry);
 }
@@ -56,19 +61,21 @@
  */
 static void test_late_ready(void)
 {
-	struct registration leaving = told("s1", "a:1", 100, 5);
+	struct registration leaving = make_registration("s1", "a:1", 100, 5);
 	struct registry registry;
 
 	registry_init(&registry, SECOND);
-	take(&registry, told("s1", "a:1", 100, 3), 0);
+	take(&registry, make_registration("s1", "a:1", 100, 3), 0);
 	leaving.leaving = true;
 	g_assert_cmpint(take(&registry, leaving, 1), ==, REGISTRY_CHANGED);
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 4), 2), ==,
-			REGISTRY_STALE);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 100, 4),
+			     2),
+			==, REGISTRY_STALE);
 	g_assert_false(usable(&registry, "s1"));
 	g_assert_nonnull(registry_mark_gone(&registry, "s1"));
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 9), 3), ==,
-			REGISTRY_STALE);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 100, 9),
+			     3),
+			==, REGISTRY_STALE);
 	g_assert_false(usable(&registry, "s1"));
 	registry_clear(&registry);
 }
@@ -79,13 +86,15 @@
 	struct registry registry;
 
 	registry_init(&registry, SECOND);
-	take(&registry, told("s1", "a:1", 100, 50), 0);
+	take(&registry, make_registration("s1", "a:1", 100, 50), 0);
 	registry_mark_gone(&registry, "s1");
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 200, 1), 1), ==,
-			REGISTRY_CHANGED);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 200, 1),
+			     1),
+			==, REGISTRY_CHANGED);
 	g_assert_true(usable(&registry, "s1"));
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 51), 2), ==,
-			REGISTRY_STALE);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 100, 51),
+			     2),
+			==, REGISTRY_STALE);
 	registry_clear(&registry);
 }
 
@@ -96,22 +105,24 @@
  */
 static void test_reused_address(void)
 {
-	struct registration other = told("s2", "a:1", 200, 1);
+	struct registration other = make_registration("s2", "a:1", 200, 1);
 	struct registry_entry *replaced;
 	struct registry registry;
 
 	registry_init(&registry, SECOND);
-	take(&registry, told("s1", "a:1", 100, 7), 0);
+	take(&registry, make_registration("s1", "a:1", 100, 7), 0);
 	g_strlcpy(other.service, "scribe", sizeof(other.service));
 	g_assert_cmpint(registry_update(&registry, &other, 1, &replaced), ==,
 			REGISTRY_CHANGED);
 	g_assert_cmpstr(replaced->registration.id, ==, "s1");
 	g_assert_false(usable(&registry, "s1"));
-	g_assert_cmpint(take(&registry, told("s1", "a:1", 100, 8), 2), ==,
-			REGISTRY_STALE);
+	g_assert_cmpint(take(&registry, make_registration("s1", "a:1", 100, 8),
+			     2),
+			==, REGISTRY_STALE);
 	/* An unknown start, older than the registered one at the address. */
-	g_assert_cmpint(take(&registry, told("s0", "a:1", 50, 3), 3), ==,
-			REGISTRY_STALE);
+	g_assert_cmpint(take(&registry, make_registration("s0", "a:1", 50, 3),
+			     3),
+			==, REGISTRY_STALE);
 	g_assert_cmpstr(
 		registry_find_address(&registry, "a:1")->registration.id, ==,
 		"s2");
@@ -124,8 +135,8 @@
 	struct registry registry;
 
 	registry_init(&registry, SECOND);
-	take(&registry, told("s1", "a:1", 100, 1), 0);
-	take(&registry, told("s2", "a:2", 100, 1), 0);
+	take(&registry, make_registration("s1", "a:1", 100, 1), 0);
+	take(&registry, make_registration("s2", "a:2", 100, 1), 0);
 	registry_heartbeat(&registry, "s2", 100, 9 * SECOND);
 	registry_expire(&registry, 9 * SECOND, NULL, NULL);
 	g_assert_false(usable(&registry, "s1"));
@@ -145,8 +156,8 @@
 	struct registry registry;
 
 	registry_init(&registry, 3 * SECOND);
-	take(&registry, told("s1", "a:1", 100, 1), 0);
-	take(&registry, told("s2", "a:2", 100, 1), 0);
+	take(&registry, make_registration("s1", "a:1", 100, 1), 0);
+	take(&registry, make_registration("s2", "a:2", 100, 1), 0);
 	registry_heartbeat(&registry, "s2", 100, 10 * SECOND);
 	registry_expire(&registry, 10 * SECOND, NULL, NULL);
 	g_assert_true(usable(&registry, "s1"));
@@ -165,8 +176,8 @@
 	struct registry registry;
 
 	registry_init(&registry, SECOND);
-	take(&registry, told("s1", "a:1", 100, 1), 0);
-	take(&registry, told("s2", "a:2", 100, 1), SECOND);
+	take(&registry, make_registration("s1", "a:1", 100, 1), 0);
+	take(&registry, make_registration("s2", "a:2", 100, 1), SECOND);
 	registry_expire(&registry, 60 * SECOND, NULL, NULL);
 	g_assert_true(usable(&registry, "s1"));
 	g_assert_true(usable(&registry, "s2"));
@@ -204,8 +215,9 @@
 			   g_rand_int_range(rand, 0, 60));
 		g_snprintf(address, sizeof(address), "a:%d",
 			   g_rand_int_range(rand, 0, 40));
-		one = told(id, address, g_rand_int_range(rand, 1, 2 + i / 50),
-			   i);
+		one = make_registration(id, address,
+					g_rand_int_range(rand, 1, 2 + i / 50),
+					i);
 		one.gone = !g_rand_int_range(rand, 0, 8);
 		take(&registry, one, i);
 		if (!g_rand_int_range(rand, 0, 10))
@@ -228,12 +240,12 @@
 	uint64_t second = registration_short_id("s1", 200);
 
 	registry_init(&registry, SECOND);
-	take(&registry, told("s1", "a:1", 100, 1), 0);
-	take(&registry, told("s2", "a:2", 100, 1), 0);
+	take(&registry, make_registration("s1", "a:1", 100, 1), 0);
+	take(&registry, make_registration("s2", "a:2", 100, 1), 0);
 	g_assert_true(registry_find_short_id(&registry, first) ==
 		      registry_find(&registry, "s1"));
 	g_assert_null(registry_find_short_id(&registry, second));
-	take(&registry, told("s1", "a:1", 200, 1), 1);
+	take(&registry, make_registration("s1", "a:1", 200, 1), 1);
 	g_assert_null(registry_find_short_id(&registry, first));
 	g_assert_true(registry_find_short_id(&registry, second) ==
 		      registry_find(&registry, "s1"));
