--- a/libfilberthall/entry/entry_request.c
+++ b/libfilberthall/entry/entry_request.c
@@ -260,7 +260,7 @@
 		.idempotent =
 			route->kind == ROUTE_IDEMPOTENT || call->resumable,
 		.stream = call->stream,
-		.attempts_most = route->attempts,
+		.max_attempts = route->attempts,
 	};
 
 	call->class_name = xstrdup(rule->name);
--- a/libfilberthall/load/divide.c
+++ b/libfilberthall/load/divide.c
@@ -52,7 +52,7 @@
 		       PAUSE_PREFILL_SHARE * pause_us;
 }
 
-static void fade(struct divide *divide, int64_t now_us)
+static void divide_decay(struct divide *divide, int64_t now_us)
 {
 	double age_us = (double)(now_us - divide->used_at_us);
 
@@ -62,7 +62,7 @@
 
 void divide_record_use(struct divide *divide, double server_us, int64_t now_us)
 {
-	fade(divide, now_us);
+	divide_decay(divide, now_us);
 	divide->used_us += server_us;
 }
 
@@ -98,7 +98,7 @@
 
 	if (pool->n <= 0)
 		return false;
-	fade(divide, now_us);
+	divide_decay(divide, now_us);
 	share = fmax(share_by_work(divide, pool, vms),
 		     share_by_slots(divide, pool, vms));
 	share = fmax(DIVIDE_MIN_SHARE, fmin(DIVIDE_MAX_SHARE, share));
--- a/libfilberthall/load/length.c
+++ b/libfilberthall/load/length.c
@@ -97,7 +97,7 @@
 	return (int64_t)ceil(exp2((bucket + 1) / LENGTH_PER_DOUBLING));
 }
 
-static void length_fade(struct length_entry *entry)
+static void length_halve_counts(struct length_entry *entry)
 {
 	int i;
 
@@ -115,8 +115,8 @@
 
 	if (!entry)
 		entry = length_add(length, class_name, model);
-	if (++entry->since_fade > LENGTH_FADE)
-		length_fade(entry);
+	if (++entry->since_fade > LENGTH_HALVING_ANSWERS)
+		length_halve_counts(entry);
 	entry->counts[length_bucket(tokens)] += 1;
 	entry->total += 1;
 	entry->tokens += (double)tokens;
--- a/libfilberthall/load/length.h
+++ b/libfilberthall/load/length.h
@@ -19,7 +19,8 @@
  */
 
 #define LENGTH_BUCKETS 84 /**< up to 2^21 tokens */
-#define LENGTH_FADE 256	  /**< counts are halved after so many answers */
+#define LENGTH_HALVING_ANSWERS \
+	256 /**< counts are halved after so many answers */
 #define LENGTH_UNKNOWN_TOKENS 256 /**< estimate without any data */
 
 struct length {
--- a/libfilberthall/load/pick.c
+++ b/libfilberthall/load/pick.c
@@ -45,8 +45,8 @@
 {
 	double phase = (double)(backend->node.hash % 1024) / 1024.0;
 
-	return (int64_t)floor(query->own_until * slots + phase) -
-	       (int64_t)floor(query->own_from * slots + phase);
+	return (int64_t)floor(query->share_end * slots + phase) -
+	       (int64_t)floor(query->share_begin * slots + phase);
 }
 
 /* Whether the server has a free slot, by its report and this VM's count. */
@@ -58,7 +58,7 @@
 	double slots = ceil((double)backend->slots * weight);
 	double own = slots;
 
-	if (query->own_until > 0)
+	if (query->share_end > 0)
 		own = (double)pick_own_slots(backend, slots, query);
 	/* Allow one probe of a server that is recovering or straggling. */
 	if (weight < 1 && own < 1)
@@ -67,7 +67,7 @@
 	    (double)backend->own.long_running >= ceil(own * PICK_LONG_SHARE))
 		return false;
 	/* The VMs' shares limit their sum; without shares the report decides. */
-	if (query->own_until > 0 || weight < 1)
+	if (query->share_end > 0 || weight < 1)
 		return (double)backend->own.running < own;
 	return backend_load(backend) < slots;
 }
--- a/libfilberthall/load/pick.h
+++ b/libfilberthall/load/pick.h
@@ -57,11 +57,11 @@
 	double hold_us;	  /**< mean time that a request uses a slot */
 	/*
 	 * This VM's share of each server's slots, as the interval from
-	 * `own_from` to `own_until` within 0..1. If both are 0, only the
+	 * `share_begin` to `share_end` within 0..1. If both are 0, only the
 	 * load report limits the number of requests.
 	 */
-	double own_from;
-	double own_until;
+	double share_begin;
+	double share_end;
 	struct place_query place; /**< with `homes` */
 };
 
--- a/libfilberthall/load/poison.c
+++ b/libfilberthall/load/poison.c
@@ -10,7 +10,7 @@
 	uint64_t fingerprint;
 	uint64_t server; /* of the first crash */
 	int64_t ran_us;	 /* until the first crash */
-	int64_t until_us;
+	int64_t state_expires_us;
 	bool held;
 };
 
@@ -59,7 +59,7 @@
 	if (!node)
 		return NULL;
 	entry = container_of(node, struct poison_entry, node);
-	if (now_us < entry->until_us)
+	if (now_us < entry->state_expires_us)
 		return entry;
 	poison_drop(poison, entry);
 	return NULL;
@@ -79,7 +79,7 @@
 	entry->fingerprint = fingerprint;
 	entry->server = server;
 	entry->ran_us = ran_us;
-	entry->until_us = now_us + POISON_SUSPECT_US;
+	entry->state_expires_us = now_us + POISON_SUSPECT_US;
 	map_insert(&poison->entries, &entry->node, fingerprint);
 }
 
@@ -102,8 +102,9 @@
 	same_point =
 		(double)ran_us >= (double)entry->ran_us * POISON_SAME_POINT;
 	if (same_point || !entry->held)
-		entry->until_us = now_us + (same_point ? POISON_QUARANTINE_US
-						       : POISON_HOLD_US);
+		entry->state_expires_us =
+			now_us +
+			(same_point ? POISON_QUARANTINE_US : POISON_HOLD_US);
 	entry->held = true;
 	return POISON_HELD;
 }
--- a/libfilberthall/load/preempt.c
+++ b/libfilberthall/load/preempt.c
@@ -8,7 +8,8 @@
 bool preempt_allowed(const struct preempt_victim *victim, int tier)
 {
 	return victim->tier > tier && victim->idempotent && victim->usable &&
-	       !victim->by_floor && victim->done_share < PREEMPT_MAX_DONE_SHARE;
+	       !victim->by_floor &&
+	       victim->done_fraction < PREEMPT_MAX_DONE_FRACTION;
 }
 
 bool preempt_before(const struct preempt_victim *a,
@@ -27,12 +28,12 @@
 
 void preempt_earn(struct preempt_budget *budget, int64_t tokens, int64_t now_us)
 {
-	double elapsed_us = (double)(now_us - budget->noted_us);
+	double elapsed_us = (double)(now_us - budget->updated_us);
 	double max_tokens;
 
 	if (elapsed_us > 0) {
 		budget->rate *= exp(-elapsed_us / PREEMPT_RATE_US);
-		budget->noted_us = now_us;
+		budget->updated_us = now_us;
 	}
 	budget->rate += (double)tokens * 1e6 / PREEMPT_RATE_US;
 	max_tokens = budget->rate * PREEMPT_SAVED_S;
--- a/libfilberthall/load/preempt.h
+++ b/libfilberthall/load/preempt.h
@@ -28,7 +28,7 @@
 	bool by_floor; /**< started by its class's minimum share */
 	bool usable;   /**< the waiting request can use its slot */
 	int64_t started_us;
-	double done_share; /**< fraction of its expected work that is done */
+	double done_fraction; /**< fraction of its expected work that is done */
 };
 
 /**
@@ -49,7 +49,7 @@
 	double tokens;
 	double max_tokens; /**< limit of `tokens` */
 	double rate;	   /**< tokens served per second, moving average */
-	int64_t noted_us;
+	int64_t updated_us;
 };
 
 void preempt_init(struct preempt_budget *budget);
@@ -62,7 +62,7 @@
 bool preempt_spend(struct preempt_budget *budget, int64_t tokens);
 
 /** An attempt past this fraction of its expected work isn't preempted. */
-#define PREEMPT_MAX_DONE_SHARE 0.75
+#define PREEMPT_MAX_DONE_FRACTION 0.75
 
 /** Time to free a slot: a cancellation takes one or two round trips. */
 #define PREEMPT_CANCEL_US INT64_C(20000)
--- a/libfilberthall/load/quota.c
+++ b/libfilberthall/load/quota.c
@@ -15,7 +15,7 @@
 
 	if (burst_s <= 0)
 		burst_s = QUOTA_BURST_S;
-	return (double)rate * quota->part * burst_s / 60.0;
+	return (double)rate * quota->rate_fraction * burst_s / 60.0;
 }
 
 static double quota_filled(const struct quota *quota, double level,
@@ -23,7 +23,7 @@
 {
 	double capacity = quota_capacity(quota, rate);
 
-	level += (double)rate * quota->part * (double)elapsed_us /
+	level += (double)rate * quota->rate_fraction * (double)elapsed_us /
 		 QUOTA_MINUTE_US;
 	return level < capacity ? level : capacity;
 }
@@ -48,7 +48,7 @@
 {
 	memset(quota, 0, sizeof(*quota));
 	quota->limits = *limits;
-	quota->part = 1;
+	quota->rate_fraction = 1;
 	quota->concurrent_part = limits->max_concurrent;
 	quota->filled_us = now_us;
 	quota->requests = quota_capacity(quota, limits->requests_per_min);
@@ -56,7 +56,8 @@
 }
 
 /* A limit that has just been set starts with a full bucket. */
-static double quota_carry(double level, double capacity, int64_t old_rate)
+static double quota_rescale_level(double level, double capacity,
+				  int64_t old_rate)
 {
 	return !old_rate || level > capacity ? capacity : level;
 }
@@ -70,22 +71,24 @@
 	quota->limits = *limits;
 	if (old.max_concurrent != limits->max_concurrent)
 		quota->concurrent_part = (int64_t)ceil(
-			(double)limits->max_concurrent * quota->part);
+			(double)limits->max_concurrent * quota->rate_fraction);
 	quota->requests =
-		quota_carry(quota->requests,
-			    quota_capacity(quota, limits->requests_per_min),
-			    old.requests_per_min);
+		quota_rescale_level(quota->requests,
+				    quota_capacity(quota,
+						   limits->requests_per_min),
+				    old.requests_per_min);
 	quota->tokens =
-		quota_carry(quota->tokens,
-			    quota_capacity(quota, limits->tokens_per_min),
-			    old.tokens_per_min);
+		quota_rescale_level(quota->tokens,
+				    quota_capacity(quota,
+						   limits->tokens_per_min),
+				    old.tokens_per_min);
 }
 
 void quota_set_part(struct quota *quota, double part, int64_t concurrent_part,
 		    int64_t now_us)
 {
 	quota_refill(quota, now_us);
-	quota->part = part;
+	quota->rate_fraction = part;
 	quota->concurrent_part = concurrent_part;
 	quota_refill(quota, now_us);
 }
@@ -94,7 +97,7 @@
 static int64_t quota_wait_ms(const struct quota *quota, double level,
 			     int64_t rate)
 {
-	double per_ms = (double)rate * quota->part / 60e3;
+	double per_ms = (double)rate * quota->rate_fraction / 60e3;
 
 	if (per_ms <= 0)
 		return 60000;
@@ -107,7 +110,7 @@
 	const struct quota_limits *limits = &quota->limits;
 
 	quota_refill(quota, now_us);
-	quota->asked++;
+	quota->unreported_requests++;
 	if (limits->max_concurrent &&
 	    quota->concurrent >= quota->concurrent_part) {
 		*retry_after_ms = QUOTA_CONCURRENT_RETRY_MS;
--- a/libfilberthall/load/quota.h
+++ b/libfilberthall/load/quota.h
@@ -32,14 +32,14 @@
 
 struct quota {
 	struct quota_limits limits;
-	double part;		 /**< this VM's fraction of the rates, 0..1 */
+	double rate_fraction;	 /**< this VM's fraction of the rates, 0..1 */
 	int64_t concurrent_part; /**< this VM's part of max_concurrent */
 	int64_t concurrent;
 	double requests; /**< level of the bucket, may be negative */
 	double tokens;	 /**< level of the bucket, may be negative */
 	int64_t filled_us;
-	int64_t asked; /**< quota_charge() calls since the last usage report */
-	bool reported; /**< in use at the last usage report */
+	int64_t unreported_requests; /**< quota_charge() calls since the last usage report */
+	bool reported;		     /**< in use at the last usage report */
 };
 
 /** Default burst: long enough for all requests of one page load. */
--- a/libfilberthall/load/retry.c
+++ b/libfilberthall/load/retry.c
@@ -11,7 +11,7 @@
 		.unlimited = !limited,
 		.budget = RETRY_MIN_BUDGET,
 		.max_budget = RETRY_MIN_BUDGET,
-		.noted_us = now_us,
+		.updated_us = now_us,
 	};
 }
 
@@ -63,12 +63,12 @@
 	return again < (allowed > 1 ? allowed : 1);
 }
 
-void retry_fresh(struct retry *retry, int64_t now_us)
+void retry_record_request(struct retry *retry, int64_t now_us)
 {
-	double elapsed_us = (double)(now_us - retry->noted_us);
+	double elapsed_us = (double)(now_us - retry->updated_us);
 	if (elapsed_us > 0) {
 		retry->rate *= exp(-elapsed_us / RETRY_RATE_US);
-		retry->noted_us = now_us;
+		retry->updated_us = now_us;
 	}
 	retry->rate += 1e6 / RETRY_RATE_US;
 	retry->max_budget = retry->rate * RETRY_BURST_S * RETRY_SHARE;
@@ -116,8 +116,8 @@
 	return true;
 }
 
-enum result retry_ask(struct retry *retry, const struct retry_case *why,
-		      int64_t now_us)
+enum result retry_check(struct retry *retry, const struct retry_case *why,
+			int64_t now_us)
 {
 	if (!retry_may_help(why))
 		return why->code;
--- a/libfilberthall/load/retry.h
+++ b/libfilberthall/load/retry.h
@@ -64,14 +64,14 @@
 	double budget;
 	double max_budget; /**< most budget that can accumulate */
 	double rate;	   /**< new requests per second, running average */
-	int64_t noted_us;
+	int64_t updated_us;
 	struct retry_limit limit;
 	int fresh[RETRY_STEPS + 1]; /**< new requests by step, a ring buffer */
 	int retries[RETRY_STEPS + 1];
 	int64_t step; /**< number of the current step */
 };
 
-/** The facts by which retry_ask() decides. */
+/** The facts by which retry_check() decides. */
 struct retry_case {
 	enum result code; /**< how the attempt ended */
 	int64_t http_status;
@@ -104,13 +104,13 @@
 void retry_limit(struct retry *retry, const struct retry_limit *limit);
 
 /** Count a new request. */
-void retry_fresh(struct retry *retry, int64_t now_us);
+void retry_record_request(struct retry *retry, int64_t now_us);
 
 /**
  * Returns RESULT_OK and charges a retry if another attempt may be made; else
  * the code to answer the caller with.
  */
-enum result retry_ask(struct retry *retry, const struct retry_case *why,
-		      int64_t now_us);
+enum result retry_check(struct retry *retry, const struct retry_case *why,
+			int64_t now_us);
 
 #endif
--- a/libfilberthall/load/router.h
+++ b/libfilberthall/load/router.h
@@ -108,7 +108,7 @@
 	bool stream;
 	bool keep_answer;   /**< a claimed request needs the whole answer */
 	int64_t send_by_us; /**< never sent later than this; 0 for none */
-	int attempts_most;  /**< servers that may run it; 0 for the default */
+	int max_attempts;   /**< servers that may run it; 0 for the default */
 };
 
 /** All mechanisms except `homes` are on. */
--- a/libfilberthall/load/router_attempt.c
+++ b/libfilberthall/load/router_attempt.c
@@ -11,8 +11,8 @@
 #define ATTEMPT_IDLE_MS 15000
 
 /* Time after which a pooled connection counts as dead; see below. */
-#define ATTEMPT_SILENT_MS 5000
-#define ATTEMPT_SILENT_FACTOR 8
+#define ATTEMPT_MIN_IDLE_TIMEOUT_MS 5000
+#define ATTEMPT_IDLE_TIMEOUT_FACTOR 8
 
 /* Least time for the first byte, however near the deadline is. */
 #define ATTEMPT_FIRST_BYTE_MS 1000
@@ -33,10 +33,11 @@
 				     int64_t left_ms)
 {
 	double mean_us = request->queue->pool->first_token_us;
-	int64_t bound_ms = (int64_t)(ATTEMPT_SILENT_FACTOR * mean_us / 1000);
+	int64_t bound_ms =
+		(int64_t)(ATTEMPT_IDLE_TIMEOUT_FACTOR * mean_us / 1000);
 
-	if (bound_ms < ATTEMPT_SILENT_MS)
-		bound_ms = ATTEMPT_SILENT_MS;
+	if (bound_ms < ATTEMPT_MIN_IDLE_TIMEOUT_MS)
+		bound_ms = ATTEMPT_MIN_IDLE_TIMEOUT_MS;
 	if (!proven && request->spec.stream && left_ms > bound_ms)
 		left_ms = bound_ms;
 	return left_ms > ATTEMPT_FIRST_BYTE_MS ? left_ms
@@ -221,13 +222,13 @@
 }
 
 /* A pause in the caller's stream counts also if the server has changed. */
-static void request_note_piece(struct request *request, int64_t now_us)
+static void request_record_chunk(struct request *request, int64_t now_us)
 {
-	int64_t pause_us = now_us - request->piece_us;
+	int64_t pause_us = now_us - request->last_chunk_us;
 
-	if (request->piece_us && pause_us > request->pause_us)
+	if (request->last_chunk_us && pause_us > request->pause_us)
 		request->pause_us = pause_us;
-	request->piece_us = now_us;
+	request->last_chunk_us = now_us;
 }
 
 void router_tokens(struct router *router,
@@ -251,7 +252,7 @@
 	attempt->tokens = tokens->tokens;
 	if (request->spec.stream) {
 		request->delivered = attempt->base + attempt->tokens;
-		request_note_piece(request, now_us);
+		request_record_chunk(request, now_us);
 	}
 	if (!attempt->first_us)
 		attempt_first_token(router, attempt, now_us);
@@ -391,9 +392,9 @@
 		.http_status = ended->http_status,
 		.sent = request->may_have_run,
 		.idempotent = request->spec.idempotent,
-		.max_attempts = request->spec.attempts_most,
+		.max_attempts = request->spec.max_attempts,
 		.sends = request->n_attempts,
-		.reached_server = request->arrived,
+		.reached_server = request->reached_server,
 		.tier = request->tier < RULE_TIERS ? request->tier
 						   : RULE_TIERS - 1,
 		.deadline_us = request->deadline_us,
@@ -411,7 +412,7 @@
 			    effects);
 		return;
 	}
-	code = retry_ask(&request->queue->pool->retry, &why, now_us);
+	code = retry_check(&request->queue->pool->retry, &why, now_us);
 	if (code) {
 		if (!request->spec.stream)
 			request->wasted += attempt->tokens;
@@ -454,7 +455,7 @@
 	if (ended->sent || attempt->sent)
 		request->may_have_run = true;
 	if (ended->sent || ended->code != RESULT_BACKEND_CONNECT)
-		request->arrived = true;
+		request->reached_server = true;
 	attempt_update_health(router, attempt, ended, now_us, effects);
 	router_span(router, request, "attempt", attempt->started_us, now_us,
 		    (enum result)ended->code, attempt->address, effects);
--- a/libfilberthall/load/router_dispatch.c
+++ b/libfilberthall/load/router_dispatch.c
@@ -197,18 +197,18 @@
 		if (router_shares(router) &&
 		    parts_reach(pool,
 				pool->cheap_slots * router_equal_share(router)))
-			router_equal_bounds(router, &query.own_from,
-					    &query.own_until);
+			router_equal_bounds(router, &query.share_begin,
+					    &query.share_end);
 		backend = pick_avoiding(router, pool, &query, now_us);
 	}
 	if (backend || !pool_has_share(router, pool, request, by_floor))
 		return backend;
 	query.cheap = false;
-	query.own_from = 0;
-	query.own_until = 0;
+	query.share_begin = 0;
+	query.share_end = 0;
 	if (router_shares(router) && parts_reach(pool, (double)pool->grant)) {
-		query.own_from = pool->own_from;
-		query.own_until = pool->own_until;
+		query.share_begin = pool->share_begin;
+		query.share_end = pool->share_end;
 	}
 	return pick_avoiding(router, pool, &query, now_us);
 }
--- a/libfilberthall/load/router_preempt.c
+++ b/libfilberthall/load/router_preempt.c
@@ -22,7 +22,7 @@
 	};
 
 	if (request->estimate > 0)
-		victim.done_share =
+		victim.done_fraction =
 			(double)attempt->tokens / (double)request->estimate;
 	victim.usable = backend && !attempt->cancelled &&
 			pick_fits(backend, &query, &router->pick, now_us);
--- a/libfilberthall/load/router_share.c
+++ b/libfilberthall/load/router_share.c
@@ -90,7 +90,8 @@
 		/* Each daemon may use a pool with fewer slots than daemons. */
 		if (!pool->grant && pool->slots > 0)
 			pool->grant = 1;
-		router_equal_bounds(router, &pool->own_from, &pool->own_until);
+		router_equal_bounds(router, &pool->share_begin,
+				    &pool->share_end);
 	}
 	map_foreach(organisation, next, &router->organisations, node)
 		quota_set_part(&organisation->quota, 1.0 / peers->n,
@@ -156,14 +157,14 @@
  * Report the use of an organisation, and once more after it has ended, so that
  * the allocator gives this daemon's part to the others.
  */
-static void write_use(struct share_writer *writer,
-		      struct organisation *organisation)
+static void write_usage(struct share_writer *writer,
+			struct organisation *organisation)
 {
 	struct quota *quota = &organisation->quota;
-	bool in_use = quota->concurrent || quota->asked;
+	bool in_use = quota->concurrent || quota->unreported_requests;
 	struct share_usage use = {
 		.concurrent = quota->concurrent,
-		.requests = quota->asked,
+		.requests = quota->unreported_requests,
 		.limit = organisation->rule.max_concurrent,
 	};
 
@@ -172,7 +173,7 @@
 	snprintf(use.organisation, sizeof(use.organisation), "%s",
 		 organisation->rule.name);
 	share_write_usage(writer, &use);
-	quota->asked = 0;
+	quota->unreported_requests = 0;
 	quota->reported = in_use;
 }
 
@@ -196,7 +197,7 @@
 	}
 	if (++peers->rounds % SHARE_LIMIT_ROUNDS == 0)
 		map_foreach(organisation, next, &router->organisations, node)
-			write_use(&writer, organisation);
+			write_usage(&writer, organisation);
 	return share_write_end(&writer, SHARE_DEMAND);
 }
 
@@ -229,7 +230,7 @@
 				    demand, message->now_us);
 }
 
-static void take_use(void *data, const struct share_usage *use)
+static void take_usage(void *data, const struct share_usage *use)
 {
 	const struct message *message = data;
 	struct router_peers *peers = message->router->peers;
@@ -253,11 +254,12 @@
 	pool = pool_get(router, service ? NULL : name, service ? name : NULL,
 			message->now_us);
 	pool->grant = grant->slots;
-	pool->own_from = 0;
-	pool->own_until = 0;
+	pool->share_begin = 0;
+	pool->share_end = 0;
 	if (grant->total > 0) {
-		pool->own_from = (double)grant->offset / (double)grant->total;
-		pool->own_until = (double)(grant->offset + grant->slots) /
+		pool->share_begin =
+			(double)grant->offset / (double)grant->total;
+		pool->share_end = (double)(grant->offset + grant->slots) /
 				  (double)grant->total;
 	}
 	pool->global_pressured_tier = grant->pressured_tier < SCHED_TIERS
@@ -266,7 +268,7 @@
 	pool_update_pressure(router, pool, message->now_us);
 }
 
-static void take_part(void *data, const struct share_limit_grant *part)
+static void take_limit_grant(void *data, const struct share_limit_grant *part)
 {
 	const struct message *message = data;
 	struct router *router = message->router;
@@ -298,9 +300,9 @@
 	struct share_reader reader = {
 		.message = on_message_kind,
 		.demand = take_demand,
-		.usage = take_use,
+		.usage = take_usage,
 		.grant = take_grant,
-		.limit_grant = take_part,
+		.limit_grant = take_limit_grant,
 		.crash = take_crash,
 		.data = &message,
 	};
@@ -330,7 +332,7 @@
 	share_write_grant(data, grant);
 }
 
-static void write_part(void *data, const struct share_limit_grant *part)
+static void write_limit_grant(void *data, const struct share_limit_grant *part)
 {
 	share_write_limit_grant(data, part);
 }
@@ -347,7 +349,7 @@
 	share_allocate(peers->allocator_state, now_us);
 	for (i = 0; i < peers->n; i++) {
 		share_visit(peers->allocator_state, peers->members[i],
-			    write_grant, write_part, &writer);
+			    write_grant, write_limit_grant, &writer);
 		body = share_write_end(&writer, SHARE_GRANT);
 		if (i != peers->self) {
 			router_send(effects, peers->members[i], body);
--- a/libfilberthall/load/router_state.h
+++ b/libfilberthall/load/router_state.h
@@ -116,8 +116,8 @@
 	double mean_prompt;    /**< mean prompt tokens of a request */
 	double prefill_rate;   /**< prompt tokens per second of an engine */
 	int64_t grant;	       /**< slots granted to this VM, -1 if unlimited */
-	double own_from;       /**< this VM's part of each server, 0..1 */
-	double own_until;
+	double share_begin;    /**< this VM's part of each server, 0..1 */
+	double share_end;
 	int64_t n_samples;
 	int n_preempting;	  /**< preempted attempts that haven't ended */
 	int local_pressured_tier; /**< highest tier under pressure on this VM */
@@ -179,9 +179,9 @@
 	int64_t charged_tokens; /**< tokens charged to the limits */
 	int64_t estimate;	/**< output tokens */
 	bool is_long;
-	bool may_have_run; /**< a byte may have been sent */
-	bool arrived;	   /**< an attempt reached a server */
-	int64_t hedge_us;  /**< no check for a hedge before this time */
+	bool may_have_run;   /**< a byte may have been sent */
+	bool reached_server; /**< an attempt reached a server */
+	int64_t hedge_us;    /**< no check for a hedge before this time */
 	char avoid[BACKEND_NAME_SIZE]; /**< server of the last failed attempt */
 	struct list attempts;
 	int n_attempts;
@@ -191,8 +191,8 @@
 	int64_t prompt_tokens;
 	int64_t wasted;
 	int64_t first_token_us;
-	int64_t piece_us; /**< when the last chunk arrived */
-	int64_t pause_us; /**< longest gap between two chunks so far */
+	int64_t last_chunk_us; /**< when the last chunk arrived */
+	int64_t pause_us;      /**< longest gap between two chunks so far */
 	char address[BACKEND_NAME_SIZE]; /**< server of the last attempt */
 };
 
--- a/libfilberthall/load/router_submit.c
+++ b/libfilberthall/load/router_submit.c
@@ -468,7 +468,7 @@
 				    now_us);
 	request->is_long = log(request->entry.cost) >
 			   log(SUBMIT_LONG_RATIO) + pool->mean_log_cost;
-	retry_fresh(&pool->retry, now_us);
+	retry_record_request(&pool->retry, now_us);
 	code = request_admit(router, request, now_us, &retry_after_ms, effects);
 	if (code) {
 		request_refuse(router, request, code, retry_after_ms, now_us,
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -6,7 +6,7 @@
 #define TIME_MAINTENANCE_US INT64_C(1000000)
 
 /* Interval at which a waiting request past its target is checked. */
-#define TIME_LOOK_US INT64_C(250000)
+#define TIME_RECHECK_US INT64_C(250000)
 
 /* An attempt is hedged after this many times the mean time to first token. */
 #define TIME_HEDGE_RATIO 4.0
@@ -61,7 +61,7 @@
 	else if (request->target_us > now_us)
 		other_us = request->target_us;
 	else if (request->target_us)
-		other_us = now_us + TIME_LOOK_US;
+		other_us = now_us + TIME_RECHECK_US;
 	if (other_us < at_us)
 		at_us = other_us;
 	request_set_timer(router, request, at_us);
@@ -120,7 +120,7 @@
 	if (backend)
 		health_overdue(&backend->health, now_us);
 	if (!hedge_has_room(router, request) ||
-	    retry_ask(&request->queue->pool->retry, &why, now_us))
+	    retry_check(&request->queue->pool->retry, &why, now_us))
 		return;
 	attempt_cancel(attempt, RESULT_BACKEND_TIMEOUT, effects);
 }
--- a/libfilberthall/load/sched.c
+++ b/libfilberthall/load/sched.c
@@ -185,7 +185,7 @@
 }
 
 /* An idle flow or lane accumulates no credit: advance its virtual time. */
-static void flow_wake(struct sched *sched, struct sched_flow *flow)
+static void flow_activate(struct sched *sched, struct sched_flow *flow)
 {
 	struct sched_tier *tier = &sched->tiers[flow->tier];
 
@@ -232,7 +232,7 @@
 	list_append(&lane->order, &entry->order);
 	sched_count(sched, lane, 1, entry->cost);
 	if (!flow->node.place)
-		flow_wake(sched, flow);
+		flow_activate(sched, flow);
 	if (lane->entries.n == 1)
 		lane_wake(sched, lane);
 	else
--- a/libfilberthall/load/share_limit.c
+++ b/libfilberthall/load/share_limit.c
@@ -92,15 +92,15 @@
 			   int64_t now_us)
 {
 	struct share_live_members list;
-	double asked = 0;
-	double rates;
+	double total_requests = 0;
+	double rate_left;
 	int64_t left;
 	int i;
 
-	limit_begin_round(share, limit, &list, &left, &rates, now_us);
+	limit_begin_round(share, limit, &list, &left, &rate_left, now_us);
 	for (i = 0; i < list.n; i++) {
 		list.demands[i] = limit->rows[list.index[i]].concurrent;
-		asked += limit->rows[list.index[i]].recent_requests;
+		total_requests += limit->rows[list.index[i]].recent_requests;
 	}
 	left = share_divide(left, list.demands, list.parts, list.n,
 			    share->round);
@@ -115,11 +115,12 @@
 		double equal = 1.0 / list.n;
 
 		row->rate_fraction =
-			asked > 0 ? rates *
-					    (equal +
-					     row->recent_requests / asked) /
-					    2
-				  : rates * equal;
+			total_requests > 0
+				? rate_left *
+					  (equal + row->recent_requests /
+							   total_requests) /
+					  2
+				: rate_left * equal;
 		row->grant = list.parts[i];
 		row->fresh = false;
 		row->updated = true;
--- a/libfilberthall/load/share_message.h
+++ b/libfilberthall/load/share_message.h
@@ -10,10 +10,10 @@
  * with its kind. Unknown kinds are ignored, so that daemons of two versions
  * can work side by side during an upgrade.
  *
- *	[1, [[pool, slots, pressure, want...]...], [[organisation, concurrent,
- *	     asked, limit]...]]				demand
- *	[2, [[pool, slots, before, total, pressure]...], [[organisation,
- *	     part, concurrent]...]]			grants
+ *	[1, [[pool, slots, pressured_tier, demand...]...], [[organisation,
+ *	     concurrent, requests, limit]...]]		demand
+ *	[2, [[pool, slots, offset, total, pressured_tier]...], [[organisation,
+ *	     rate_fraction, concurrent]...]]		grants
  *	[3, fingerprint, server, ran_us]		a crash
  */
 enum share_kind { SHARE_DEMAND = 1, SHARE_GRANT = 2, SHARE_CRASH = 3 };
--- a/tests/load/t-retry.c
+++ b/tests/load/t-retry.c
@@ -4,7 +4,7 @@
 
 #define SECOND INT64_C(1000000)
 
-/* A site of 66 entry VMs, each with 14 requests a second for the service. */
+/* 66 entry VMs, each with 14 requests per second for the service. */
 #define VMS 66
 #define RATE 14
 #define RUN_S 60
@@ -31,7 +31,7 @@
 	}
 }
 
-/* One request; in `bad` seconds its first server answers with an error. */
+/* Makes one request; if `bad`, its first server answers with an error. */
 static void play_request(struct play *play, struct retry *vm, int second,
 			 int64_t now_us, bool bad)
 {
@@ -46,9 +46,9 @@
 		.max_attempts = 2,
 	};
 
-	retry_fresh(vm, now_us);
+	retry_record_request(vm, now_us);
 	play->fresh[second]++;
-	if (bad && !retry_ask(vm, &why, now_us))
+	if (bad && !retry_check(vm, &why, now_us))
 		play->again[second]++;
 }
 
@@ -78,7 +78,7 @@
 	return n;
 }
 
-/* The window that has most repeats beyond what the site allows. */
+/* The largest number of retries in a window above the limit of the site. */
 static double worst_excess(const struct play *play)
 {
 	double worst = -1e9;
@@ -96,11 +96,11 @@
 }
 
 /*
- * All servers of a service fail for half a minute. Each entry VM repeated
- * within a budget of its own, 32 saved up at the least; at 66 of them that
- * was 2,112 before any share of the traffic, and a service that could answer
- * nobody got a third of its load over again. With the site's limit shared
- * out, no ten seconds have more than it allows.
+ * All servers of a service fail for half a minute. Each entry VM retried within
+ * its own budget of at least 32 saved retries; with 66 VMs that allowed 2,112
+ * retries besides those earned by traffic, and the failing service received an
+ * additional third of its load. With the limit of the site divided among the
+ * VMs, no window of ten seconds exceeds it.
  */
 static void repeats_of_all_vms_stay_within_the_limit(void)
 {
@@ -115,10 +115,10 @@
 }
 
 /*
- * A quarter of the servers crash under a calm site, and within a second each
- * VM has fourteen requests to repeat. The limit has room for them, as ten
- * seconds of traffic stand behind it; a VM that could save up its part of the
- * headroom alone repeated four and failed the others.
+ * A quarter of the servers crash under moderate load, and within a second each
+ * VM has fourteen requests to retry. The limit allows this, as it counts ten
+ * seconds of traffic. A VM that could save up only its part of the headroom
+ * retried four and failed the others.
  */
 static void a_crash_is_repeated(void)
 {
@@ -129,7 +129,10 @@
 	g_assert_cmpint(play.again[30], ==, RATE * VMS);
 }
 
-/* With more VMs than headroom each can still repeat a request now and then. */
+/*
+ * With more VMs than retries in the headroom, each VM can still retry
+ * occasionally.
+ */
 static void many_vms_still_repeat(void)
 {
 	struct retry_limit limit = { SITE_SHARE, SITE_HEADROOM,
@@ -145,9 +148,9 @@
 }
 
 /*
- * A server's machine is gone and connections to it fail. Nothing arrived
- * anywhere, so sending the request to another server is no repeat: it needs
- * no budget, where an exhausted one refused it.
+ * Connections to a server fail because its machine is down. The request didn't
+ * reach any server, so sending it to another one isn't a retry and must not
+ * need budget; it was refused when the budget was exhausted.
  */
 static void what_never_arrived_costs_no_budget(void)
 {
@@ -162,9 +165,9 @@
 	retry_init(&retry, true, 0);
 	retry.budget = 0;
 	for (i = 0; i < 10; i++)
-		g_assert_cmpint(retry_ask(&retry, &why, 0), ==, RESULT_OK);
+		g_assert_cmpint(retry_check(&retry, &why, 0), ==, RESULT_OK);
 	why.reached_server = true;
-	g_assert_cmpint(retry_ask(&retry, &why, 0), ==, RESULT_RETRY_BUDGET);
+	g_assert_cmpint(retry_check(&retry, &why, 0), ==, RESULT_RETRY_BUDGET);
 }
 
 int main(int argc, char **argv)
