--- a/tests/load/bed.c
+++ b/tests/load/bed.c
@@ -93,7 +93,7 @@
 	return request.id;
 }
 
-/* The next effect of that kind; the others before it are dropped. */
+/* Returns the next effect of the given kind and drops those before it. */
 struct effect *bed_effect(struct bed *bed, enum effect_kind kind)
 {
 	struct effect *effect;
--- a/tests/load/bed.h
+++ b/tests/load/bed.h
@@ -5,9 +5,13 @@
 #include "fleet/backend.h"
 #include "load/router.h"
 
-/** One router with its fleet, for tests that play the edges. */
+/** One second in microseconds. */
 #define SECOND INT64_C(1000000)
 
+/**
+ * Test fixture: one router with its fleet. The test takes the place of the
+ * edges: it submits requests and reports how their attempts ended.
+ */
 struct bed {
 	struct fleet fleet;
 	struct router *router;
--- a/tests/load/policy-bench.t
+++ b/tests/load/policy-bench.t
@@ -1,6 +1,7 @@
 #!/bin/sh
-# policy-bench from outside: its names are read by scripts, and a slip of the
-# pen in a scenario must not pass for a default.
+# Tests policy-bench by its command line. Scripts read the field names of its
+# output, and a misspelt field in a scenario must be an error instead of being
+# ignored in favour of the default.
 set -u
 bench=$BUILD_ROOT/bin/policy-bench
 dir=$(mktemp -d)
--- a/tests/load/t-backend.c
+++ b/tests/load/t-backend.c
@@ -33,8 +33,8 @@
 }
 
 /*
- * A server crashes and is started anew. Another VM passes on, late, what the
- * old boot last said. It must not take the new boot's place.
+ * A server crashes and restarts, and another VM forwards the last announcement
+ * of the old boot late. It must not replace the announcement of the new boot.
  */
 static void an_old_boot_does_not_come_back(void)
 {
@@ -49,8 +49,9 @@
 }
 
 /*
- * A server says that it leaves, and its lease ends. A copy of an earlier
- * announcement comes in by a slow link: requests would be sent to nobody.
+ * A server announces that it is leaving, and its lease ends. If a copy of an
+ * earlier announcement that was delayed on a slow link were accepted, requests
+ * would be sent to a server that no longer exists.
  */
 static void a_departed_server_does_not_come_back(void)
 {
@@ -100,8 +101,9 @@
 }
 
 /*
- * A burst comes between two load reports. Each request must be counted on
- * its server at once, or all of them go where the last report saw room.
+ * A burst of requests arrives between two load reports. Each request must be
+ * added to its server's load at once; otherwise all of them go to the server
+ * that the last report showed as free.
  */
 static void own_work_counts_on_top_of_the_report(void)
 {
@@ -121,8 +123,10 @@
 }
 
 /*
- * Of three servers of one model one is four times as slow; a server of
- * another model is slower still, and is no straggler among its own.
+ * One of three servers of a model is four times as slow as the others and must
+ * be marked as a straggler. The only server of another model is slower still,
+ * but isn't a straggler, since it is compared only with servers of its own
+ * model.
  */
 static void a_straggler_is_found_among_its_peers(void)
 {
--- a/tests/load/t-divide.c
+++ b/tests/load/t-divide.c
@@ -8,7 +8,7 @@
 #define ENGINES_LEFT 40
 #define VMS 71
 
-/* Cues, coaching and scores of a site, as they ask. */
+/* Requests for cues, coaching and scores. */
 static const struct divide_query cue = { SECOND / 4, 700, 3500, 30000 };
 static const struct divide_query coach = { 2 * SECOND / 5, 2400, 3500, 30000 };
 static const struct divide_query score = { SECOND, 9000, 3500, 30000 };
@@ -21,9 +21,10 @@
 }
 
 /*
- * Singers' cues may rest for a quarter of a second, and came late beside
- * scores of 9,000 tokens. They have servers of their own; a long prompt of
- * their kind would hurt them there as well.
+ * The stream of singers' cues may pause for at most a quarter of a second. Cues
+ * were late when they shared servers with scores of 9,000 tokens, so they have
+ * servers of their own. Cues with a long prompt are kept off those servers too,
+ * as they would delay the others.
  */
 static void test_paced(void)
 {
@@ -40,8 +41,9 @@
 }
 
 /*
- * A burst of cues halves the mean prompt. Measured against the mean, a third of
- * the cues then counted as long, went among the scores and came late.
+ * A burst of cues halves the mean prompt length. When prompts were compared
+ * with the mean, a third of the cues counted as long, were sent to the servers
+ * for scores and were late.
  */
 static void test_mix(void)
 {
@@ -55,7 +57,7 @@
 	g_assert_true(divide_is_paced(&divide, &big_cue));
 }
 
-/* Nobody asks for a pause: by the length of the prompt. */
+/* Without any request that limits its pauses, prompts are divided by length. */
 static void test_no_pause(void)
 {
 	struct divide_query query = { 0, 700, 3500, 30000 };
@@ -67,7 +69,9 @@
 	g_assert_false(divide_is_paced(&divide, &query));
 }
 
-/* The route with the shortest pause is gone; the next one takes its place. */
+/*
+ * Requests with the shortest pause stop, so the next shortest takes its place.
+ */
 static void test_forgotten(void)
 {
 	struct divide divide;
@@ -80,7 +84,10 @@
 	g_assert_true(divide_is_paced(&divide, &coach));
 }
 
-/* What one VM sees of `rate` cues a second at all VMs, for some seconds. */
+/*
+ * Simulates one VM's fraction of `rate` cues per second over all VMs, from
+ * `from_us` for `for_us`.
+ */
 static void play(struct divide *divide, int engines, double rate,
 		 int64_t from_us, int64_t for_us)
 {
@@ -96,9 +103,10 @@
 }
 
 /*
- * Two zones' servers are gone and cues come at four times their rate: they wait
- * for four seconds before a quarter of the servers while the others have room.
- * The part follows their work, and goes back with it.
+ * The servers of two availability zones are lost while cues arrive at four
+ * times their usual rate. With a fixed quarter of the servers, cues waited for
+ * four seconds while the other servers had free slots. The share of servers
+ * must grow with the work of the cues, and shrink again with it.
  */
 static void test_burst(void)
 {
@@ -115,13 +123,14 @@
 }
 
 #define SLOTS 24
-#define BURST_OF_VM 5 /* 355 cues at all VMs */
+#define BURST_OF_VM 5 /* 355 cues over all VMs */
 
 /*
- * Cues come at once while half of the servers are gone; each takes one of 24
- * slots for four seconds. A quarter of the servers has 240 slots, so a third of
- * the cues waits there beside servers with free slots, and until the first of
- * them end, their work tells nothing of it. The slots that they fill do.
+ * A burst of cues arrives while only 40 of 140 servers are left; each cue takes
+ * one of 24 slots for four seconds. A quarter of the servers has 240 slots, so
+ * a third of the cues would wait there beside servers with free slots. The
+ * measured work doesn't show this until the first cues end, so the share also
+ * depends on the slots in use.
  */
 static void test_slots(void)
 {
@@ -143,7 +152,10 @@
 	g_assert_cmpfloat(divide.share, ==, DIVIDE_MIN_SHARE);
 }
 
-/* A VM that sees no cues at all leaves a quarter to those of the others. */
+/*
+ * A VM that receives no cues still reserves a quarter of the servers for those
+ * of other VMs.
+ */
 static void test_least(void)
 {
 	const struct divide_pool pool = { VMS, ENGINES, ENGINES };
@@ -189,9 +201,10 @@
 }
 
 /*
- * Two of three zones are taken away; their servers are still known while they
- * leave. Most of the servers kept for cues were theirs, so cues went among
- * scores on those that stayed and came late.
+ * Two of three availability zones are lost; their servers stay in the list
+ * while they leave. When most servers reserved for cues were in those zones,
+ * cues were sent to servers with scores and were late. New ones must be
+ * reserved among the remaining servers.
  */
 static void test_leaving(void)
 {
@@ -205,7 +218,7 @@
 	announce_servers(&fleet, members, 24);
 	divide_mark(&divide, members, 24, SECOND);
 	g_assert_cmpint(kept(members, 24, true), ==, 6);
-	/* All that were kept, and ten others, leave. */
+	/* All reserved servers and ten others leave. */
 	for (i = 0; i < 24; i++)
 		members[i]->leaving = members[i]->for_paced || i >= 14;
 	divide_mark(&divide, members, 24, SECOND);
@@ -216,7 +229,10 @@
 
 #define MANY 184
 
-/* Every second server leaves; how many of the others change sides. */
+/*
+ * Drains every second server; returns how many of the others changed between
+ * reserved and unreserved.
+ */
 static int sides_changed(int odd, int *missing)
 {
 	struct backend *members[MANY];
@@ -246,10 +262,11 @@
 }
 
 /*
- * Captions stand still in the middle of a burst: two zones leave and others are
- * on their way to replace them. The part was chosen anew among the rest, so
- * servers changed sides and paced streams met the long prompts that were being
- * read there; a few seconds later all went back. Only what is missing changes.
+ * During a burst two zones leave while replacements are starting. When the
+ * reserved servers were chosen anew among the rest, servers changed between
+ * reserved and unreserved, and paced streams stalled behind the long prompts
+ * that were being read there; a few seconds later all changed back. Only as
+ * many servers as are missing may change.
  */
 static void test_replaced(void)
 {
--- a/tests/load/t-large-pool.c
+++ b/tests/load/t-large-pool.c
@@ -24,7 +24,7 @@
 	router_tick(bed->router, bed->now_us, &bed->effects);
 }
 
-/* Where one request goes, "" for nowhere. */
+/* Sends one request and sets `address` to its server, or "" if none. */
 static void send_one(struct bed *bed, char address[32])
 {
 	uint64_t id = bed_submit(bed, "high", true);
@@ -36,7 +36,10 @@
 		bed_end(bed, id, 1, RESULT_OK, true);
 }
 
-/* A list that is made anew seldom must not offer what left since. */
+/*
+ * The list of servers is rebuilt rarely. Servers that left since must not be
+ * picked from it.
+ */
 static void test_leaving(void)
 {
 	char address[32];
@@ -61,7 +64,7 @@
 	bed_close(&bed);
 }
 
-/* Servers that were freed stay in no list, not even for a moment. */
+/* Freed servers must be removed from all lists at once. */
 static void test_freed(void)
 {
 	char address[32];
@@ -78,7 +81,10 @@
 	bed_close(&bed);
 }
 
-/* Another service's server at the address of one that left gets its requests. */
+/*
+ * A server of another service starts at the address of one that left. It must
+ * receive the requests of its own service.
+ */
 static void test_reused(void)
 {
 	struct event_announce announce = { .boot_id = (char *)"other",
@@ -105,7 +111,7 @@
 	bed_close(&bed);
 }
 
-/* A new server gets work though the list is made anew seldom. */
+/* A new server receives requests although the list is rebuilt rarely. */
 static void test_new(void)
 {
 	char address[32];
--- a/tests/load/t-pace.c
+++ b/tests/load/t-pace.c
@@ -2,7 +2,7 @@
 
 #include "bed.h"
 
-/* A class whose stream may rest for a quarter of a second. */
+/* Adds a class whose streams may pause for at most `pause_us`. */
 static void pace_class(struct bed *bed, const char *name, int64_t pause_us)
 {
 	struct class_rule rule = {
@@ -31,10 +31,10 @@
 }
 
 /*
- * A singer's cue marks come every 20 ms, stand still for a second while an
- * engine reads two long prompts, and go on. The mean between pieces is well
- * within the goal, so the daemon counted the stream as good, and the group
- * that orders servers never heard that some were missing.
+ * A stream of cues has a chunk every 20 ms, stops for a second while the engine
+ * reads two long prompts, and continues. The mean interval is well within the
+ * target, so the daemon counted the stream as on time, and the servers that
+ * were missing were never ordered. The longest pause must count.
  */
 static void a_stream_that_stood_still_has_missed(void)
 {
@@ -61,7 +61,9 @@
 	bed_close(&bed);
 }
 
-/* A request with a prompt of its own length and six seconds left. */
+/*
+ * Submits a request with the given prompt length and a deadline in six seconds.
+ */
 static uint64_t ask(struct bed *bed, const char *class_name, int64_t prompt)
 {
 	struct router_request request = {
@@ -93,7 +95,10 @@
 	return sent;
 }
 
-/* Requests of a class end one after the other; the server stays known. */
+/*
+ * Runs `n` requests of a class one after the other and renews the lease of the
+ * server each time.
+ */
 static void serve(struct bed *bed, const char *class_name, int64_t prompt,
 		  int64_t takes_us, int n)
 {
@@ -109,10 +114,10 @@
 }
 
 /*
- * Cues of 700 prompt tokens take two seconds for their long answers, scores of
- * 9,000 take half a second. By one figure of time per token for both, a score
- * seemed to need far more than the 6 s it had, and was refused while servers stood
- * idle.
+ * Cues with 700 prompt tokens take two seconds because of their long answers;
+ * scores with 9,000 take half a second. With one time per token for both, a
+ * score was estimated at far more than the 6 s it had, and was refused while
+ * servers were idle.
  */
 static void a_long_prompt_is_judged_by_its_own_kind(void)
 {
@@ -126,9 +131,10 @@
 }
 
 /*
- * In an overload scores took seven seconds each, and those with six left were
- * refused as hopeless. The overload went, but none was tried any more, so the
- * figure stayed and half of all scores were refused for a minute.
+ * During an overload scores took seven seconds each, so those with a deadline
+ * of six seconds were refused. After the overload no score was sent any more,
+ * so the estimate never changed and half of all scores were refused for a
+ * minute.
  */
 static void a_refused_kind_is_tried_again(void)
 {
--- a/tests/load/t-place.c
+++ b/tests/load/t-place.c
@@ -85,9 +85,9 @@
 }
 
 /*
- * Seven VMs that share nothing send requests over 267 long shared parts to
- * twelve engines. What counts for callers is how often an engine has to read
- * 13,300 tokens that another one has read already.
+ * Seven VMs without shared state send requests with 267 long shared prefixes to
+ * twelve engines. Returns how often an engine had to read 13,300 tokens that
+ * another engine had already read.
  */
 static int read_again(struct pool *vms)
 {
@@ -130,7 +130,7 @@
 		fleet_clear(&vms[i].fleet);
 }
 
-/* An engine goes: only the parts that had their home there move. */
+/* When an engine leaves, only the prefixes that were placed on it move. */
 static void test_moves(void)
 {
 	struct backend *before[PARTS];
@@ -157,7 +157,7 @@
 	fleet_clear(&pool.fleet);
 }
 
-/* Captions don't stand behind critiques: they have engines of their own. */
+/* Captions don't wait behind critiques: engines are reserved for them. */
 static void test_short(void)
 {
 	struct place_query query = short_prompt();
@@ -180,7 +180,10 @@
 	fleet_clear(&pool.fleet);
 }
 
-/* The home is far behind: reading anew elsewhere is quicker. */
+/*
+ * When the engine that holds the prefix has a long backlog, reading the prefix
+ * on another engine is quicker.
+ */
 static void test_overloaded_home(void)
 {
 	struct place_query query = long_prompt(5);
@@ -196,7 +199,10 @@
 	fleet_clear(&pool.fleet);
 }
 
-/* All engines for short prompts are behind: better among the long ones. */
+/*
+ * When all engines for short prompts have a long backlog, those for long ones
+ * are used too.
+ */
 static void test_spill(void)
 {
 	struct place_query query = short_prompt();
@@ -212,8 +218,9 @@
 }
 
 /*
- * A plain service of three servers has no prompts. One of them was set aside
- * for short ones all the same, and got 43 requests of 1,174.
+ * The requests of a plain service with three servers have no prompts. One of
+ * the servers was reserved for short prompts all the same, and received 43 of
+ * 1,174 requests.
  */
 static void test_plain(void)
 {
@@ -229,7 +236,10 @@
 	fleet_clear(&pool.fleet);
 }
 
-/* Second tries of all VMs met on one of six servers that were as good. */
+/*
+ * Second attempts from all VMs were sent to the same one of six equally good
+ * servers. They must be spread over all six.
+ */
 static void test_equals(void)
 {
 	struct place_query query = { .prefill_rate = 100000, .zone = "z2" };
--- a/tests/load/t-policy.c
+++ b/tests/load/t-policy.c
@@ -5,9 +5,9 @@
 #include "bench/sim.h"
 
 /*
- * What callers receive from the router's decisions, before the bench's model
- * of engines. Bounds are a little below what was measured; runs are the same
- * each time.
+ * Tests what callers receive from the router's decisions in the bench's
+ * simulation of engines. Each bound is a little below the measured value; runs
+ * with the same seed are identical.
  */
 static void load_scenario(struct scenario *scenario, const char *name)
 {
@@ -55,9 +55,9 @@
 }
 
 /*
- * Students upload at once: captions come at six times their rate while long
- * work fills the pool. Without tiers every caption waits for critiques to
- * end; with them it is the long work that waits.
+ * Captions arrive at six times their usual rate while long requests fill the
+ * pool. Without tiers every caption waits for critiques to end; with tiers the
+ * long requests wait.
  */
 static void a_burst_is_served_in_time(void)
 {
@@ -76,9 +76,9 @@
 }
 
 /*
- * One organisation's loop sends twenty times what each of three others do.
- * In order of arrival the three get a twentieth each; they must get all they
- * ask for, and the loop what is left.
+ * One organisation sends twenty times as many requests as each of three others.
+ * With first-come, first-served the three get a twentieth each; they must get
+ * all they request, and the first organisation the rest.
  */
 static void a_hot_caller_harms_only_itself(void)
 {
@@ -100,8 +100,9 @@
 }
 
 /*
- * One engine of twelve turns slow, and its own reports make it look idle.
- * A twelfth of all requests would be late for as long as it is slow.
+ * One engine of twelve becomes slow while its own reports show it as idle.
+ * Without detection a twelfth of all requests would be late for as long as it
+ * is slow.
  */
 static void a_slow_server_costs_little(void)
 {
@@ -124,8 +125,9 @@
 }
 
 /*
- * Essays of a minute come in a wave that is more than the pool can do. Notes
- * of two seconds, of the same tier, must not wait until essays end.
+ * Essays that take a minute each exceed the capacity of the pool for a while.
+ * Notes that take two seconds, of the same tier, must not wait until essays
+ * end.
  */
 static void short_work_gets_by_long_work(void)
 {
@@ -142,9 +144,9 @@
 }
 
 /*
- * Five times what the pool can do, for two minutes. Work that comes too late
- * is work for nobody: goodput must stay where it is at full load, and the
- * top tier, which fits, must not notice.
+ * The load is five times the capacity of the pool for two minutes. Answers
+ * after the deadline are useless: goodput must stay at its full-load level, and
+ * the top tier, which fits within the capacity, must not be affected.
  */
 static void overload_does_not_collapse(void)
 {
@@ -166,8 +168,8 @@
 }
 
 /*
- * A request crashes its engine, is tried on another, crashes that too, and
- * its caller sends it again and again. Two engines are lost to it, no third.
+ * A request crashes its engine and then a second one, and its caller resends it
+ * again and again. It may crash two engines, but no third.
  */
 static void a_poison_request_takes_two_servers_at_most(void)
 {
@@ -187,7 +189,10 @@
 	done(&scenario, &measure);
 }
 
-/* Faults, and requests that may not be sent twice, over several seeds. */
+/*
+ * Injects faults while some requests must not be sent twice, with several
+ * seeds.
+ */
 static void promises_hold_whatever_fails(void)
 {
 	const char *names[] = { "cooperative", "crash", "silent", "reclaim" };
@@ -205,9 +210,9 @@
 }
 
 /*
- * An organisation may send 300 requests a minute and its callers send 2,400,
- * through seven VMs by chance. It must get its 300, not seven times that, and
- * not a part of them only.
+ * An organisation has a limit of 300 requests per minute, and its callers send
+ * 2,400 through seven randomly chosen VMs. It must get 300, neither seven times
+ * as many nor only a fraction.
  */
 static void limits_hold_over_all_routers(void)
 {
@@ -255,7 +260,10 @@
 	measure_clear(&measure);
 }
 
-/* The same seed gives the same run, or no figure could be checked. */
+/*
+ * The same seed must give the same run; otherwise measured values couldn't be
+ * reproduced.
+ */
 static void a_run_repeats_itself(void)
 {
 	struct scenario scenario;
--- a/tests/load/t-promises.c
+++ b/tests/load/t-promises.c
@@ -6,10 +6,11 @@
 #include "load/router.h"
 
 /*
- * The promises of one router as properties over seeded random runs. A random
- * edge answers attempts in any order and with any code, late or never sent;
- * servers join, leave, crash and fall silent; callers leave, keys are
- * withdrawn, classes change. Checked at each effect and at the end.
+ * Checks the guarantees of one router in seeded random runs. A random edge ends
+ * attempts in any order and with any code, late or without sending them;
+ * servers join, leave, crash and stop announcing themselves; callers
+ * disconnect, keys are withdrawn and classes change. The guarantees are checked
+ * at each effect and at the end.
  */
 #define SECOND INT64_C(1000000)
 #define N_REQUESTS 1500
@@ -100,7 +101,10 @@
 	g_assert_cmpint(++asked->answers, ==, 1);
 	if (answer->run != RUN_NOT)
 		return;
-	/* What says "not run" did not run, and nothing of it is under way. */
+	/*
+	 * A request answered as "not run" was never sent and has no active
+	 * attempt.
+	 */
 	g_assert_false(any_sent(asked));
 	for (i = 1; i <= asked->n_attempts; i++)
 		g_assert_false(asked->attempts[i].active);
@@ -155,7 +159,7 @@
 	router_submit(world->router, &request, world->now_us, &world->effects);
 }
 
-/* Let the edge report something of one attempt that is under way. */
+/* Reports progress or, if `end` is set, the end of an active attempt. */
 static void act_report(struct world *world, uint64_t id, bool end)
 {
 	static const enum result codes[] = {
@@ -308,7 +312,10 @@
 		act_announce(world, i, false);
 }
 
-/* All attempts end, time passes: nobody may be left without an answer. */
+/*
+ * Ends all attempts and advances the time; each request must have exactly one
+ * answer.
+ */
 static void world_end(struct world *world)
 {
 	uint64_t id;
--- a/tests/load/t-quota.c
+++ b/tests/load/t-quota.c
@@ -5,8 +5,8 @@
 #include "load/quota.h"
 
 /*
- * The buckets against a naive version that keeps no level: it works it out
- * from the whole history of charges each time it is asked.
+ * Compares the token buckets with a simple reference that stores no level: it
+ * computes the level from all previous charges on each call.
  */
 #define N_EVENTS 600
 
@@ -110,9 +110,9 @@
 }
 
 /*
- * A caller's loop sends a thousand times what its organisation may. Over ten
- * minutes it gets its rate and its burst, and each refusal says when to come
- * back.
+ * An organisation sends a thousand times as much as its limit allows. Over ten
+ * minutes it gets its rate plus its burst, and each refusal gives a time to
+ * retry after.
  */
 static void the_rate_holds_in_the_long_run(void)
 {
--- a/tests/load/t-router.c
+++ b/tests/load/t-router.c
@@ -32,9 +32,10 @@
 }
 
 /*
- * A lodgement's server dies after a byte of the request has left. Whether it
- * ran can't be known: sent again, a calf would be in two places. The caller
- * must be told "unknown" and no second attempt may be started.
+ * The server of a non-idempotent request dies after a byte of the request was
+ * sent. It can't be known whether the request ran, and running it twice would
+ * record a calf in two places. The caller must get "unknown", and no second
+ * attempt may start.
  */
 static void a_non_idempotent_request_is_not_sent_twice(void)
 {
@@ -81,8 +82,8 @@
 }
 
 /*
- * All slots are busy. A low and then a high request wait; the first slot that
- * comes free is the high one's, whatever the order of arrival.
+ * All slots are busy. A low-tier and then a high-tier request wait; the first
+ * free slot goes to the high-tier one, whatever the order of arrival.
  */
 static void the_higher_tier_is_served_first(void)
 {
@@ -113,8 +114,9 @@
 }
 
 /*
- * One small server, seven VMs, and nobody hands out shares. The seventh part
- * of four slots is none, but a caller of the seventh VM must be served too.
+ * Seven VMs use one server with four slots, and there is no allocator. A
+ * seventh of four slots rounds down to none, but requests through the seventh
+ * VM must be served too.
  */
 static void a_small_pool_serves_every_vm(void)
 {
@@ -156,9 +158,9 @@
 }
 
 /*
- * A request crashes its server, is sent to a second, crashes that, and its
- * caller sends it again. It must not reach a third, on no VM; its resend is
- * told that it didn't run.
+ * A request crashes its server and then a second one, and its caller resends
+ * it. It must not reach a third server through any VM; the resent request is
+ * answered with "not run".
  */
 static void a_poison_request_is_held_on_all_vms(void)
 {
@@ -211,9 +213,10 @@
 }
 
 /*
- * A long request of a low tier holds the only slot when a caption comes that
- * has half a second. It gives way if it may run again, and waits for its turn
- * with what its caller has had; one that may not be repeated is left alone.
+ * A long low-tier request holds the only slot when a caption arrives that has
+ * half a second. If the long request is idempotent, it is preempted and queued
+ * again, and keeps what its caller has already received; one that must not be
+ * repeated continues.
  */
 static void only_repeatable_work_gives_way(bool idempotent)
 {
@@ -263,8 +266,8 @@
 }
 
 /*
- * Low and high requests wait. An operator gives the low class tier 0 and its
- * older request a shorter deadline: it is now the next one to be sent.
+ * Low-tier and high-tier requests wait. An operator sets the low class to tier
+ * 0 and gives its older request a shorter deadline, so it must be sent next.
  */
 static void a_change_of_class_acts_on_what_waits(void)
 {
@@ -293,8 +296,8 @@
 }
 
 /*
- * A key is withdrawn while one of its requests streams and one waits. Both
- * end at once; the one that waited is told that it did not run.
+ * A key is withdrawn while one of its requests streams and another waits. Both
+ * end at once; the waiting one is answered with "not run".
  */
 static void a_withdrawn_key_ends_its_requests(void)
 {
@@ -330,8 +333,8 @@
 }
 
 /*
- * A caller waits in the queue until its deadline is past. It is told so, and
- * that the request did not run, once and at the deadline.
+ * A request waits in the queue until its deadline passes. It is answered once,
+ * at the deadline: the deadline has passed and the request did not run.
  */
 static void an_expired_request_says_not_run(void)
 {
--- a/tests/load/t-sched.c
+++ b/tests/load/t-sched.c
@@ -5,9 +5,9 @@
 #include "load/sched.h"
 
 /*
- * The scheduler against a naive version that keeps everything in arrays and
- * searches them whole for each decision: over seeded random runs both must
- * choose the same request each time.
+ * Compares the scheduler with a simple reference that keeps everything in
+ * arrays and searches them in full for each decision: in seeded random runs
+ * both must choose the same request each time.
  */
 #define N_ENTRIES 400
 #define N_ORGANISATIONS 7
@@ -147,7 +147,9 @@
 	int tier = (int)rng_below(&pair->rng, SCHED_TIERS);
 	double delta = (double)rng_below(&pair->rng, 400) - 200;
 
-	/* The scheduler knows an organisation once it has pushed. */
+	/*
+	 * The scheduler has no state of an organisation before its first push.
+	 */
 	if (!naive_flow_waits(&pair->naive, organisation, tier))
 		return;
 	pair->naive.flow_time[organisation][tier] += delta;
@@ -203,8 +205,8 @@
 }
 
 /*
- * An operator lowers a class's tier while its requests wait. They must take
- * their places in the new tier at once, none lost and none served twice.
+ * An operator lowers a class's tier while its requests wait. They must move to
+ * the queue of the new tier at once; none may be lost or served twice.
  */
 static void a_change_of_tier_moves_what_waits(void)
 {
--- a/tests/load/t-share.c
+++ b/tests/load/t-share.c
@@ -69,7 +69,10 @@
 	return share;
 }
 
-/* All parts together are the whole, whatever is wanted and who is silent. */
+/*
+ * All grants together equal the total, whatever the demand and whichever
+ * members don't report.
+ */
 static void parts_sum_up_to_the_whole(void)
 {
 	struct rng rng = { 5 };
@@ -104,7 +107,7 @@
 	}
 }
 
-/* The top tier's wants are met before a lower tier gets anything. */
+/* The top tier's demand is met before a lower tier gets anything. */
 static void the_top_tier_comes_first(void)
 {
 	uint64_t members[2] = { 1, 2 };
@@ -151,7 +154,7 @@
 	body = share_write_end(&writer, SHARE_DEMAND);
 	g_assert_cmpint(share_read(&body, &reader), ==, RESULT_OK);
 	g_assert_cmpmem(&heard.demand, sizeof(demand), &demand, sizeof(demand));
-	/* Cut short anywhere, it is refused and not half believed. */
+	/* A message truncated at any point is refused as a whole. */
 	while (body.len) {
 		body.len--;
 		g_assert_cmpint(share_read(&body, &reader), ==,
