--- a/tests/agreed/t-apply.c
+++ b/tests/agreed/t-apply.c
@@ -83,7 +83,7 @@
 	site_stop(&site);
 }
 
-/* A second bootstrap must not put a new first operator beside the old. */
+/* A second bootstrap must not create another first operator. */
 static void seed_is_taken_once(void)
 {
 	struct site site;
@@ -192,7 +192,7 @@
 	site_stop(&site);
 }
 
-/* A message of five bytes that claims to hold four thousand million items. */
+/* A message of five bytes whose length field says four thousand million. */
 static void lengths_beyond_the_end_are_refused(void)
 {
 	g_assert_null(codec_decode("\xdd\xff\xff\xff\xff", 5));
@@ -202,7 +202,7 @@
 	g_assert_null(codec_decode("\x01\x01", 2));
 }
 
-/* The library hands out NULL for an empty string that comes first. */
+/* The library returns NULL for an empty string at the start. */
 static void empty_text_is_text(void)
 {
 	json_t *text = codec_decode("\xa0", 1);
--- a/tests/agreed/t-begun.c
+++ b/tests/agreed/t-begun.c
@@ -7,7 +7,7 @@
 
 #define SECOND INT64_C(1000000)
 
-/* Hand all that an entry VM has to tell to a control VM. */
+/* Deliver all unsent totals of an entry VM to a control VM. */
 static int pass_on(struct begun *from, uint64_t source, struct begun *to)
 {
 	struct bytes body = { 0 };
@@ -39,8 +39,8 @@
 }
 
 /*
- * Two entry VMs tell their totals again and again, late and twice, and a
- * control VM is new: the sum is right all the while.
+ * Two entry VMs report their totals repeatedly, late and twice, also to a
+ * control VM that has just started: the sum stays right throughout.
  */
 static void test_totals(void)
 {
@@ -89,7 +89,7 @@
 	begun_clear(&begun);
 }
 
-/* Totals of many entry VMs and organisations, each told several times. */
+/* Many entry VMs report totals of many organisations, each several times. */
 static void test_many_sources(void)
 {
 	struct begun control;
@@ -120,7 +120,7 @@
 	begun_clear(&control);
 }
 
-/* Two of five wall clocks jump by seconds: true time stays where it is. */
+/* Two of five wall clocks jump by seconds: the median is unaffected. */
 static void test_wall(void)
 {
 	struct wall wall = { 0 };
@@ -133,12 +133,15 @@
 	wall_note(&wall, 0, 1003 * SECOND, 6 * SECOND);
 	wall_note(&wall, 1, 999 * SECOND, 6 * SECOND);
 	g_assert_cmpint(wall_time_us(&wall, 6 * SECOND), ==, 1001 * SECOND);
-	/* A clock that isn't heard any more doesn't count. */
+	/* A clock without a recent reading is ignored. */
 	wall_note(&wall, 1, 1099 * SECOND, 100 * SECOND);
 	g_assert_cmpint(wall_time_us(&wall, 100 * SECOND), ==, 1099 * SECOND);
 }
 
-/* Counts in the log and those told again are billed twice, or one is lost. */
+/*
+ * Guards against billing a count twice, or losing it, if it is both in the log
+ * and reported again.
+ */
 static void test_raise(void)
 {
 	struct feed_count counts[] = { { "reds", 4 }, { "yards", 9 } };
--- a/tests/agreed/t-claim-naive.c
+++ b/tests/agreed/t-claim-naive.c
@@ -6,10 +6,11 @@
 #include "base/rng.h"
 
 /*
- * The claims of agree/claim against a version that keeps them in one array and
- * looks through all of it each time. Random operations of three members in two
- * lives, expiry, declared deaths, and a save and load in between; after each
- * one every result and every claim must be the same in both.
+ * Differential test of agree/claim against a version that keeps the claims in
+ * one array and scans all of it each time. Random operations of three members
+ * with two incarnations each, expiry, members declared gone, and a save and load
+ * in between; after each one every result and every claim must be the same in
+ * both.
  */
 
 #define IDS 24
@@ -102,7 +103,7 @@
 	return RESULT_OK;
 }
 
-/* Drop the answer kept longest until the rest fits. */
+/* Drop the oldest answers until the rest fits. */
 static void naive_bound(struct naive *naive)
 {
 	while (naive_bytes(naive) > MOST_BYTES) {
@@ -269,7 +270,7 @@
 		naive_owner_gone(naive, &owner, time_us);
 		return;
 	}
-	/* Mostly the owner itself, or hardly any claim would ever end. */
+	/* Mostly the owner, as otherwise hardly any claim would end. */
 	if (naive->claims[number].used && rng_below(rng, 4))
 		owner = naive->claims[number].owner;
 	test_id(op.id, number);
--- a/tests/agreed/t-claim.c
+++ b/tests/agreed/t-claim.c
@@ -11,7 +11,7 @@
 	"{\"site/claims\": {\"keep_s\": 600, \"max_claims\": 5,"
 	" \"max_bytes\": 100, \"answer_bytes\": 60}}";
 
-/* A batch of one operation by (member, incarnation); its code. */
+/* Apply a batch of one operation by (member, incarnation); returns its code. */
 static enum result claim(struct site *site, uint64_t member,
 			 uint64_t incarnation, enum claim_verb verb,
 			 const char *id, const char *body_hash, bool sending)
@@ -83,7 +83,7 @@
 }
 
 /*
- * The VM that sent a request dies before the answer arrives, so its outcome is
+ * The VM that sent a request crashes before the answer arrives, so its outcome is
  * unknown. A resend must be answered "unknown" and never run, even if the VM
  * was only paused and later resumes with the answer.
  */
@@ -111,7 +111,7 @@
 
 /*
  * A VM is paused while its request waits, is declared gone, and the caller's
- * resend runs through another VM. When the first wakes up and asks to send,
+ * resend runs through another VM. When the first VM resumes and asks to send,
  * the log must refuse it: the request would run twice.
  */
 static void paused_owner_that_wakes_up_may_not_send(void)
@@ -137,8 +137,8 @@
 }
 
 /*
- * A VM crashes and is back at once, before anyone declared it gone. Its next
- * entry shows that the life before is over.
+ * A VM crashes and restarts at once, before it is declared gone. Its next entry
+ * shows that its previous incarnation has ended.
  */
 static void restarted_owner_ends_the_claims_of_its_former_life(void)
 {
@@ -182,9 +182,9 @@
 }
 
 /*
- * One VM's clock leaps a day ahead and its entry is in the log. Were log time
- * to follow, all claims would look expired at once, and each request that is
- * sent again would run a second time.
+ * One VM's clock steps a day ahead and its entry is committed. If log time
+ * followed it, all claims would expire at once, and each request that is sent
+ * again would run a second time.
  */
 static void leap_of_one_clock_expires_no_claims(void)
 {
@@ -210,10 +210,10 @@
 }
 
 /*
- * At most once, seen from the register: random opens, sends, answers,
- * deaths, restarts and resends of few requests by three VMs. A VM sends when
- * its entry came back, unless it died before; each request may be sent once
- * until its mark is gone. The naive side is a count of sends.
+ * The register must receive each request at most once: random opens, sends,
+ * answers, crashes, restarts and resends of few requests by three VMs. A VM
+ * sends once its entry is applied, unless it crashed before; each request may
+ * be sent once until its claim expires. The test counts the sends.
  */
 #define KEYS 5
 #define VMS 3
--- a/tests/agreed/t-roster.c
+++ b/tests/agreed/t-roster.c
@@ -4,7 +4,7 @@
 
 #define SECOND INT64_C(1000000)
 
-/* Counts of an entry VM that is cut off are left out of a window's figure. */
+/* Guards against a window closed without the counts of a disconnected VM. */
 static void one_without_a_link_is_awaited(void)
 {
 	struct roster roster;
@@ -22,7 +22,7 @@
 	roster_clear(&roster);
 }
 
-/* Windows wait for ever for a process that ended. */
+/* Guards against windows that wait forever for a process that ended. */
 static void one_that_ended_is_not_awaited(void)
 {
 	struct roster roster;
--- a/tests/agreed/t-settings-file.c
+++ b/tests/agreed/t-settings-file.c
@@ -10,7 +10,7 @@
 	bytes_append_format(data, "%d %s\n", (int)code, message);
 }
 
-/* What checking `text` as site.yaml reports, one line a fault. */
+/* The faults found in `text` as site.yaml, one per line. */
 static void check_reports(const char *text, const char *expected)
 {
 	struct bytes lines = { 0 };
--- a/tests/agreed/t-settings.c
+++ b/tests/agreed/t-settings.c
@@ -14,9 +14,9 @@
 	" \"team/calves/organisation/yard\": {\"max_concurrent\": 5}}";
 
 /*
- * Two operators read the same number and each sets another one. One of them
- * must learn that the other was first, and see both; otherwise the second
- * would undo the first without either noticing.
+ * Two operators read the same value and each sets another one. The second must
+ * get a conflict that shows both values; otherwise it would overwrite the first
+ * change without either operator noticing.
  */
 static void operators_race_under_equal_numbers(void)
 {
@@ -83,9 +83,9 @@
 }
 
 /*
- * Processes restart after hundreds of changes. Each operator who was told
- * "accepted" must find the last accepted value, never an older one, and the
- * same history to revert by.
+ * Processes restart after hundreds of changes. After the restart each operator
+ * whose change was acknowledged as accepted must read the last accepted value,
+ * never an older one, and the same history for reverts.
  */
 static void restart_after_hundreds_of_changes_keeps_the_last(void)
 {
@@ -118,7 +118,7 @@
 	site_stop(&site);
 }
 
-/* A file of three paths with one bad value must leave all three alone. */
+/* A file of three paths with one bad value must change none of them. */
 static void change_with_one_bad_value_is_refused_whole(void)
 {
 	struct site site;
@@ -179,7 +179,7 @@
 	site_stop(&site);
 }
 
-/* An operator of one team must not reach into another's subtree. */
+/* An operator of one team must not change anything outside its subtree. */
 static void operators_keep_to_their_subtree(void)
 {
 	struct site site;
@@ -213,7 +213,7 @@
 
 /*
  * Differential test: random sets, deletes, compare-and-sets and reverts of
- * few paths against a table that is kept in the plainest way, with restarts
+ * few paths against a plain table as reference, with restarts
  * from snapshots in between.
  */
 #define NAIVE_PATHS 6
--- a/tests/agreed/t-stepout.c
+++ b/tests/agreed/t-stepout.c
@@ -37,7 +37,7 @@
 	check(402, 0, 302, 402);
 }
 
-/* Each step begins anew: two that differ don't add up to a long one. */
+/* Each step is timed on its own: two different steps don't add up. */
 static void test_steps_again(void)
 {
 	stepout = (struct stepout){ 0 };
@@ -48,7 +48,7 @@
 	check(581, 0, 501, 581);
 }
 
-/* A VM that was started while its clock was wrong. */
+/* The VM was started while its clock was wrong. */
 static void test_to_agreed_time(void)
 {
 	stepout = (struct stepout){ 0 };
--- a/tests/agreed/t-usage.c
+++ b/tests/agreed/t-usage.c
@@ -7,11 +7,11 @@
 #include "usage_bench.h"
 
 /*
- * 1,000 windows with crashes, cut-off VMs, clock steps, changes of the one in
- * charge, messages lost, doubled and crossed, and reports whose call or answer
- * is lost or doubled. No window may be reported with two sets of figures, and
- * each organisation must be billed for what it got: all of it, but for what a
- * crashed VM had told no one, and never more.
+ * 1,000 windows with crashes, partitioned VMs, clock steps, changes of the
+ * lease holder, messages lost, duplicated and reordered, and reports whose call
+ * or answer is lost or duplicated. No window may be reported with two sets of
+ * figures, and each organisation must be billed for all of its usage and never
+ * for more; only usage that a crashed VM had not yet reported may be missing.
  */
 static void usage_is_billed_once_through_1000_windows(void)
 {
@@ -50,7 +50,7 @@
 	g_free(bench);
 }
 
-/* Without faults nothing is lost and nothing comes late. */
+/* Without faults no usage is lost and no report is late. */
 static void quiet_site_bills_all_in_time(void)
 {
 	struct bench *bench = g_new0(struct bench, 1);
@@ -70,8 +70,9 @@
 }
 
 /*
- * A VM dies. What it counted up to a second before must be known to its copy
- * holder, and reach the one in charge, who never heard of that VM.
+ * A VM crashes. Its counts up to one second before the crash must be stored on
+ * the VM that holds its copy, and reach the lease holder, which never received
+ * a message from the crashed VM itself.
  */
 static void loss_of_a_vm_loses_at_most_the_last_second(void)
 {
@@ -127,7 +128,7 @@
 	usage_free(holder);
 }
 
-/* One message of `from`, handed to `to` (and answered) unless it is lost. */
+/* Deliver one message of `from` to `to`, and its reply, unless it is lost. */
 static bool pass_on(struct usage *from, struct usage *to, int64_t now_us,
 		    bool lost)
 {
@@ -145,8 +146,8 @@
 }
 
 /*
- * A link breaks with a message on its way; the next one comes through. The
- * receiver must not acknowledge over the gap, or the lost counts would stay
+ * A link breaks while a message is in flight; the next message arrives. The
+ * receiver must not acknowledge past the gap, or the lost counts would stay
  * unknown until the same organisation is counted again.
  */
 static void message_lost_with_its_link_is_sent_again(void)
@@ -170,9 +171,9 @@
 }
 
 /*
- * A VM's wall clock leaps an hour ahead for half a minute, as after a resume
- * from a wrong host. It must count nothing into the windows of that hour; a
- * step that lasts is followed, but never back.
+ * A VM's wall clock steps an hour ahead for half a minute, as after a resume on
+ * a host with a wrong clock. The VM must count nothing into the windows of that
+ * hour. It follows a step that lasts, but never backwards.
  */
 static void leap_of_a_clock_moves_no_window_at_once(void)
 {
@@ -201,9 +202,9 @@
 }
 
 /*
- * The one in charge has a clock that is a day ahead for good. Were it to
- * close what its clock calls over, no figures could be committed any more for
- * the windows that the other two are still in.
+ * The lease holder's clock is permanently a day ahead. If it closed the windows
+ * that are over by its clock, no figures could be committed any more for the
+ * windows that the other two VMs are still in.
  */
 static void holder_a_day_ahead_closes_nothing_early(void)
 {
@@ -243,7 +244,7 @@
 	usage_free(holder);
 }
 
-/* Platform answers to one committed window, and what is sent again. */
+/* The platform's answers for one committed window, and which are retried. */
 static void platform_answer_lost_doubled_and_refused(void)
 {
 	struct windows *windows = windows_new();
--- a/tests/agreed/usage_bench.c
+++ b/tests/agreed/usage_bench.c
@@ -85,7 +85,7 @@
 	vm->counted[0] += add.output_tokens;
 }
 
-/* A copy holder: the next VM that can be reached. */
+/* The VM that holds the copy of `v`: the next reachable one. */
 static int copy_of(const struct bench *bench, int v)
 {
 	int i;
@@ -171,7 +171,7 @@
 	apply(bench, &entry);
 }
 
-/* The platform keeps the first figures of a window, as it should. */
+/* The platform keeps the first figures that it receives for a window. */
 static void platform_take(struct bench *bench, json_t *report)
 {
 	int64_t window = codec_int(report, "window", -1) - FIRST_US / WINDOW_US;
@@ -216,7 +216,7 @@
 	apply(bench, &entry);
 }
 
-/* The call reaches the platform, unless it is lost, perhaps doubled. */
+/* The call arrives at the platform once or twice, unless it is lost. */
 static void platform_carry_out(struct bench *bench)
 {
 	json_t *report =
@@ -265,8 +265,8 @@
 }
 
 /*
- * The new holder begins anew once the old one's lease is over, within which
- * its last call ends; the answer finds no one.
+ * The new lease holder starts without state after the old lease has expired.
+ * The old holder's last call ends before that; its answer is dropped.
  */
 static void change_holder(struct bench *bench)
 {
@@ -293,7 +293,7 @@
 	memset(vm->counted, 0, sizeof(vm->counted));
 }
 
-/* What it counted in the last seconds may be known to no one else. */
+/* Counts of the last five seconds may not have been sent to another VM. */
 static void crash(struct bench *bench, int v)
 {
 	struct vm *vm = &bench->vms[v];
--- a/tests/replay/scripts.t
+++ b/tests/replay/scripts.t
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Scripted runs of the reducer: each NAME.script is a start and its events, a
-# line each, in the format of recordings; NAME.expect has what callers, backend
-# servers and operators get of it. To see all effects: filberthall replay FILE.
+# Scripted runs of the reducer. Each NAME.script has a start record and events,
+# one per line, in the format of recordings. NAME.expect has the effects that go
+# to callers, backend servers and operators. All effects: filberthall replay FILE.
 set -eu
 bin=$BUILD_ROOT/bin/filberthall
 data=$SOURCE_ROOT/tests/replay
