--- a/libfilberthall/agree/claim.c
+++ b/libfilberthall/agree/claim.c
@@ -33,14 +33,14 @@
 	map_init(&claims->by_id);
 	map_init(&claims->members);
 	list_init(&claims->by_age);
-	list_init(&claims->kept);
+	list_init(&claims->with_answer);
 	claims->limits = claims_default_limits();
 	return claims;
 }
 
 static void claim_drop_answer(struct claims *claims, struct claim_entry *entry)
 {
-	list_remove(&entry->kept_node);
+	list_remove(&entry->answer_node);
 	claims->answer_bytes -= entry->claim.body_len;
 	free(entry->body);
 	entry->body = NULL;
@@ -183,7 +183,7 @@
 	entry->claim.body_hash = entry->body_hash;
 	entry->claim.owner = *owner;
 	entry->claim.content_type = "";
-	list_init(&entry->kept_node);
+	list_init(&entry->answer_node);
 	list_init(&entry->age_node);
 	map_insert(&claims->by_id, &entry->node, map_hash_text(id));
 	return entry;
@@ -206,7 +206,7 @@
 	entry->claim.body_len = len;
 	entry->claim.has_answer = true;
 	claims->answer_bytes += len;
-	list_append(&claims->kept, &entry->kept_node);
+	list_append(&claims->with_answer, &entry->answer_node);
 }
 
 static struct claim_member *claims_find_member(const struct claims *claims,
@@ -289,7 +289,7 @@
 	struct claim_entry *entry;
 	struct claim_entry *next;
 
-	list_foreach_safe(entry, next, &claims->kept, kept_node) {
+	list_foreach_safe(entry, next, &claims->with_answer, answer_node) {
 		if ((int64_t)claims->answer_bytes <= claims->limits.max_bytes)
 			break;
 		claim_drop_answer(claims, entry);
--- a/libfilberthall/agree/claim_state.h
+++ b/libfilberthall/agree/claim_state.h
@@ -8,8 +8,9 @@
 /** Internals shared by claim.c and claim_save.c; not for other modules. */
 struct claim_entry {
 	struct map_node node;
-	struct list age_node;  /**< in claims.by_age, oldest change first */
-	struct list kept_node; /**< in claims.kept, oldest answer first */
+	struct list age_node; /**< in claims.by_age, oldest change first */
+	struct list
+		answer_node; /**< in claims.with_answer, oldest answer first */
 	struct claim claim;
 	char *body_hash;
 	char *content_type;
@@ -26,7 +27,7 @@
 struct claims {
 	struct map by_id;
 	struct list by_age;
-	struct list kept;
+	struct list with_answer;
 	struct map members;
 	size_t answer_bytes;
 	struct claim_limits limits;
--- a/libfilberthall/agree/schema.c
+++ b/libfilberthall/agree/schema.c
@@ -95,7 +95,7 @@
 	if (!row)
 		return 0;
 	field = schema_find_field(row->fields, name);
-	return field ? field->fallback : 0;
+	return field ? field->default_value : 0;
 }
 
 static bool schema_is_name(const char *text)
@@ -409,10 +409,10 @@
 			snprintf(fallback, sizeof(fallback), "required");
 		else if (fields->kind == VALUE_BOOL)
 			snprintf(fallback, sizeof(fallback), "%s",
-				 fields->fallback != 0 ? "true" : "false");
+				 fields->default_value != 0 ? "true" : "false");
 		else if (fields->kind <= VALUE_REAL)
 			snprintf(fallback, sizeof(fallback), "%.10g",
-				 fields->fallback);
+				 fields->default_value);
 		bytes_append_format(out, "| `%s%s` | %s | %s | %s |\n", prefix,
 				    fields->name, allowed, fallback,
 				    fields->purpose);
--- a/libfilberthall/agree/schema_table.c
+++ b/libfilberthall/agree/schema_table.c
@@ -7,17 +7,17 @@
 #define INT_FIELD(field, low, high, standard, text)                        \
 	{                                                                  \
 		.name = field, .kind = VALUE_INT, .min = low, .max = high, \
-		.fallback = standard, .purpose = text                      \
+		.default_value = standard, .purpose = text                 \
 	}
 #define REAL_FIELD(field, low, high, standard, text)                        \
 	{                                                                   \
 		.name = field, .kind = VALUE_REAL, .min = low, .max = high, \
-		.fallback = standard, .purpose = text                       \
+		.default_value = standard, .purpose = text                  \
 	}
-#define BOOL_FIELD(field, standard, text)                                \
-	{                                                                \
-		.name = field, .kind = VALUE_BOOL, .fallback = standard, \
-		.purpose = text                                          \
+#define BOOL_FIELD(field, standard, text)                                     \
+	{                                                                     \
+		.name = field, .kind = VALUE_BOOL, .default_value = standard, \
+		.purpose = text                                               \
 	}
 #define NAME_FIELD(field, text)                                    \
 	{                                                          \
--- a/libfilberthall/agree/schema_table.h
+++ b/libfilberthall/agree/schema_table.h
@@ -24,7 +24,7 @@
 	enum value_kind kind;
 	double min;
 	double max;
-	double fallback;
+	double default_value;
 	bool required;
 	const char *choices; /**< "a, b, c" */
 	const struct schema_field *item;
--- a/libfilberthall/core/answer.c
+++ b/libfilberthall/core/answer.c
@@ -45,12 +45,17 @@
 		 const char *name, int64_t start_us, enum result code,
 		 const char *detail)
 {
-	const struct event_request *asked = &request->event->u.request;
-	struct span_info note = { asked->id,	asked->trace, name,  start_us,
-				  core->now_us, code,	      detail };
+	const struct event_request *request_event = &request->event->u.request;
+	struct span_info info = { request_event->id,
+				  request_event->trace,
+				  name,
+				  start_us,
+				  core->now_us,
+				  code,
+				  detail };
 
 	if (strcmp(name, ANSWER_ROOT_SPAN))
-		span_child(core->effects, &core->rng, &note);
+		span_child(core->effects, &core->rng, &info);
 	else
-		span_root(core->effects, &note);
+		span_root(core->effects, &info);
 }
--- a/libfilberthall/core/core_state.h
+++ b/libfilberthall/core/core_state.h
@@ -44,8 +44,8 @@
 struct caller_request {
 	struct map_node node; /**< core.requests, by id */
 	struct list
-		claim_waiters_node; /**< core.claim_waiters, until claimed */
-	struct event *event;	    /**< EVENT_REQUEST, owned */
+		claim_waiters_node; /**< core.claim_waiters, until its claim is granted */
+	struct event *event; /**< EVENT_REQUEST, owned */
 	enum request_state state;
 	char *key_id;
 	char *organisation;
@@ -148,7 +148,7 @@
 struct caller_request *caller_request_find(struct core *core, uint64_t id);
 void caller_request_free(struct core *core, struct caller_request *request);
 void request_propose_claim(struct core *core, struct claim_op *op,
-			   int64_t give_up_us);
+			   int64_t expires_us);
 void request_free_all(struct core *core);
 
 /* outcome.c: how requests ended */
@@ -174,7 +174,7 @@
 
 /* propose.c: proposes log entries */
 struct proposal *propose_entry(struct core *core, uint64_t ticket,
-			       struct bytes *entry, int64_t give_up_us);
+			       struct bytes *entry, int64_t expires_us);
 void propose_retry(struct core *core);
 struct proposal *propose_find(struct core *core, uint64_t ticket);
 void propose_free(struct proposal *proposal);
--- a/libfilberthall/core/metrics.c
+++ b/libfilberthall/core/metrics.c
@@ -190,15 +190,15 @@
 metrics_worst_organisation(const struct metrics *metrics)
 {
 	const struct metrics_organisation *worst = NULL;
-	struct metrics_organisation *at;
+	struct metrics_organisation *organisation;
 	struct metrics_organisation *next;
 
-	map_foreach(at, next, &metrics->organisations, node) {
-		if (at->offered < METRICS_WORST_MIN_REQUESTS)
+	map_foreach(organisation, next, &metrics->organisations, node) {
+		if (organisation->offered < METRICS_WORST_MIN_REQUESTS)
 			continue;
-		if (!worst || metrics_attained_fraction(at) <
+		if (!worst || metrics_attained_fraction(organisation) <
 				      metrics_attained_fraction(worst))
-			worst = at;
+			worst = organisation;
 	}
 	return worst;
 }
--- a/libfilberthall/core/operator.c
+++ b/libfilberthall/core/operator.c
@@ -70,14 +70,14 @@
 
 static struct pending_call *
 operator_add_pending(struct core *core, const struct operator_call *call,
-		     int64_t give_up_us)
+		     int64_t timeout_us)
 {
 	struct pending_call *waiting = xcalloc(1, sizeof(*waiting));
 
 	waiting->id = call->id;
 	waiting->peer = call->peer;
 	waiting->started_us = core->now_us;
-	waiting->expires_us = core->now_us + give_up_us;
+	waiting->expires_us = core->now_us + timeout_us;
 	list_append(&core->pending_calls, &waiting->node);
 	return waiting;
 }
--- a/libfilberthall/core/peers.c
+++ b/libfilberthall/core/peers.c
@@ -114,7 +114,7 @@
 	}
 }
 
-int peers_live(const struct core *core, uint64_t *ids, int most)
+int peers_live(const struct core *core, uint64_t *ids, int max)
 {
 	struct peer *peer;
 	struct peer *next;
@@ -122,7 +122,7 @@
 
 	ids[n++] = core->options.self;
 	map_foreach(peer, next, &core->peers, node)
-		if (peer->up && n < most)
+		if (peer->up && n < max)
 			ids[n++] = peer->id;
 	return n;
 }
--- a/libfilberthall/core/propose.c
+++ b/libfilberthall/core/propose.c
@@ -31,14 +31,14 @@
 }
 
 struct proposal *propose_entry(struct core *core, uint64_t ticket,
-			       struct bytes *entry, int64_t give_up_us)
+			       struct bytes *entry, int64_t expires_us)
 {
 	struct proposal *proposal = xcalloc(1, sizeof(*proposal));
 
 	proposal->ticket = ticket;
 	proposal->entry = *entry;
 	*entry = (struct bytes){ 0 };
-	proposal->expires_us = give_up_us;
+	proposal->expires_us = expires_us;
 	list_append(&core->proposals, &proposal->node);
 	propose_send(core, proposal);
 	return proposal;
--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -81,39 +81,41 @@
 }
 
 static void request_plan_service(struct core *core,
-				 const struct event_request *asked,
+				 const struct event_request *request_event,
 				 struct request_plan *plan)
 {
 	const struct settings *settings = agreed_settings(core->agreed);
 	const struct service_rule *service;
 	const struct route_rule *route;
 
-	service = rules_service(settings, asked->service);
-	route = service ? rules_route(service, asked->method, asked->path)
+	service = rules_service(settings, request_event->service);
+	route = service ? rules_route(service, request_event->method,
+				      request_event->path)
 			: NULL;
 	if (!route) {
-		request_plan_set_refusal(plan, RESULT_NO_ROUTE, asked->service);
+		request_plan_set_refusal(plan, RESULT_NO_ROUTE,
+					 request_event->service);
 		return;
 	}
 	if (!plan->class_name && route->class_name[0])
 		plan->class_name = route->class_name;
 	plan->idempotent = route->idempotency == IDEMPOTENCY_SAFE;
 	if (route->idempotency == IDEMPOTENCY_REQUIRED) {
-		plan->dedup_key = asked->idempotency_key;
+		plan->dedup_key = request_event->idempotency_key;
 		if (!plan->dedup_key)
 			request_plan_set_refusal(
 				plan, RESULT_NEEDS_IDEMPOTENCY_KEY,
 				"send a header Idempotency-Key that is new for "
 				"each call and the same for a resend");
 	} else if (route->idempotency == IDEMPOTENCY_BODY) {
-		plan->dedup_key = asked->idempotency_key
-					  ? asked->idempotency_key
-					  : asked->body_hash;
+		plan->dedup_key = request_event->idempotency_key
+					  ? request_event->idempotency_key
+					  : request_event->body_hash;
 	}
 }
 
 static void request_plan_completion(struct core *core,
-				    const struct event_request *asked,
+				    const struct event_request *request_event,
 				    struct request_plan *plan)
 {
 	const struct class_rule *rule;
@@ -123,11 +125,11 @@
 	rule = rules_class(agreed_settings(core->agreed), plan->class_name);
 	plan->idempotent = rule && rule->idempotent;
 	if (!plan->idempotent)
-		plan->dedup_key = asked->idempotency_key;
+		plan->dedup_key = request_event->idempotency_key;
 }
 
 static void request_plan_permit(struct core *core,
-				const struct event_request *asked,
+				const struct event_request *request_event,
 				struct request_plan *plan)
 {
 	enum result code;
@@ -140,23 +142,25 @@
 		return;
 	}
 	code = key_permits(plan->key, agreed_settings(core->agreed),
-			   plan->class_name, asked->model, asked->service);
+			   plan->class_name, request_event->model,
+			   request_event->service);
 	if (code)
 		request_plan_set_refusal(plan, code, NULL);
 }
 
-static struct request_plan request_plan(struct core *core,
-					const struct event_request *asked)
+static struct request_plan
+request_plan(struct core *core, const struct event_request *request_event)
 {
 	struct request_plan plan = { 0 };
 
-	if (!asked->key_hash) {
+	if (!request_event->key_hash) {
 		request_plan_set_refusal(
 			&plan, RESULT_NO_KEY,
 			"send a header Authorization: Bearer KEY");
 		return plan;
 	}
-	plan.key = keys_find(agreed_keys(core->agreed), asked->key_hash);
+	plan.key =
+		keys_find(agreed_keys(core->agreed), request_event->key_hash);
 	if (!plan.key || !plan.key->caller) {
 		request_plan_set_refusal(&plan, RESULT_KEY_UNKNOWN, NULL);
 		return plan;
@@ -165,73 +169,73 @@
 	 * Class: the caller's header, else the route's default, else the
 	 * key's.
 	 */
-	plan.class_name = asked->class_name;
-	if (asked->kind == REQUEST_SERVICE)
-		request_plan_service(core, asked, &plan);
+	plan.class_name = request_event->class_name;
+	if (request_event->kind == REQUEST_SERVICE)
+		request_plan_service(core, request_event, &plan);
 	if (!plan.class_name && plan.key->default_class[0])
 		plan.class_name = plan.key->default_class;
-	if (asked->kind != REQUEST_SERVICE)
-		request_plan_completion(core, asked, &plan);
+	if (request_event->kind != REQUEST_SERVICE)
+		request_plan_completion(core, request_event, &plan);
 	if (!plan.code)
-		request_plan_permit(core, asked, &plan);
+		request_plan_permit(core, request_event, &plan);
 	return plan;
 }
 
 static void request_route(struct core *core, struct caller_request *request)
 {
-	const struct event_request *asked = &request->event->u.request;
+	const struct event_request *request_event = &request->event->u.request;
 	const struct key *key =
 		keys_find_id(agreed_keys(core->agreed), request->key_id);
 	struct router_request routed = { 0 };
 
 	list_remove(&request->claim_waiters_node);
 	request->state = REQUEST_ROUTED;
-	routed.id = asked->id;
+	routed.id = request_event->id;
 	routed.organisation = request->organisation;
 	routed.key_id = request->key_id;
 	routed.key_max_concurrent = key ? key->max_concurrent : 0;
 	routed.key_requests_per_min = key ? key->requests_per_min : 0;
 	routed.class_name = request->class_name;
-	routed.model = asked->model;
-	routed.adapter = asked->adapter;
-	routed.service = asked->service;
-	routed.body_hash = asked->body_hash;
-	routed.trace = asked->trace;
-	routed.prefix_hash = asked->prefix_hash;
-	routed.prompt_tokens = asked->prompt_tokens;
-	routed.max_tokens = asked->max_tokens;
+	routed.model = request_event->model;
+	routed.adapter = request_event->adapter;
+	routed.service = request_event->service;
+	routed.body_hash = request_event->body_hash;
+	routed.trace = request_event->trace;
+	routed.prefix_hash = request_event->prefix_hash;
+	routed.prompt_tokens = request_event->prompt_tokens;
+	routed.max_tokens = request_event->max_tokens;
 	routed.arrived_us = request->arrived_us;
 	routed.deadline_us = request->deadline_us;
 	routed.idempotent = request->idempotent;
-	routed.stream = asked->stream;
+	routed.stream = request_event->stream;
 	routed.keep_answer = request->claim_id[0];
 	routed.send_by_us = request->claim_id[0] ? request->deadline_us : 0;
 	router_submit(core->router, &routed, core->now_us, core->effects);
 }
 
 void request_propose_claim(struct core *core, struct claim_op *op,
-			   int64_t give_up_us)
+			   int64_t expires_us)
 {
 	struct entry_head head = consensus_head(core);
 	struct bytes entry = { 0 };
 
 	head.incarnation = core->claim_owner;
 	entry_claims(&entry, &head, op, 1);
-	propose_entry(core, head.ticket, &entry, give_up_us);
+	propose_entry(core, head.ticket, &entry, expires_us);
 }
 
 static void request_claim(struct core *core, struct caller_request *request)
 {
-	const struct event_request *asked = &request->event->u.request;
+	const struct event_request *request_event = &request->event->u.request;
 	struct claim_op op = { 0 };
 
 	request->state = REQUEST_CLAIMING;
 	list_remove(&request->claim_waiters_node);
 	list_append(&core->claim_waiters, &request->claim_waiters_node);
 	op.verb = CLAIM_VERB_OPEN;
-	op.ticket = asked->id;
+	op.ticket = request_event->id;
 	memcpy(op.id, request->claim_id, sizeof(op.id));
-	op.body_hash = asked->body_hash;
+	op.body_hash = request_event->body_hash;
 	op.sending = true;
 	request_propose_claim(core, &op, request->deadline_us);
 }
@@ -299,7 +303,7 @@
 }
 
 static int64_t request_deadline(struct core *core,
-				const struct event_request *asked,
+				const struct event_request *request_event,
 				const char *class_name)
 {
 	const struct class_rule *rule;
@@ -308,22 +312,23 @@
 	rule = rules_class(agreed_settings(core->agreed), class_name);
 	if (rule && rule->deadline_us)
 		us = rule->deadline_us;
-	if (asked->deadline_ms > 0 && asked->deadline_ms * 1000 < us)
-		us = asked->deadline_ms * 1000;
+	if (request_event->deadline_ms > 0 &&
+	    request_event->deadline_ms * 1000 < us)
+		us = request_event->deadline_ms * 1000;
 	return core->now_us + us;
 }
 
 void request_arrived(struct core *core, struct event *event)
 {
 	struct caller_request *request = xcalloc(1, sizeof(*request));
-	const struct event_request *asked = &event->u.request;
+	const struct event_request *request_event = &event->u.request;
 	struct request_plan plan;
 
 	request->event = event;
 	request->arrived_us = core->now_us;
 	list_init(&request->claim_waiters_node);
 	map_insert(&core->requests, &request->node,
-		   map_hash(&asked->id, sizeof(asked->id)));
+		   map_hash(&request_event->id, sizeof(request_event->id)));
 	if (core->stop_deadline_us || !consensus_is_fresh(core)) {
 		request_refuse(core, request,
 			       core->stop_deadline_us ? RESULT_STOPPING
@@ -331,7 +336,7 @@
 			       REQUEST_RETRY_AFTER_MS, NULL);
 		return;
 	}
-	plan = request_plan(core, asked);
+	plan = request_plan(core, request_event);
 	if (plan.key) {
 		request->key_id = xstrdup(plan.key->id);
 		request->organisation = xstrdup(plan.key->organisation);
@@ -342,13 +347,15 @@
 	}
 	request->class_name = xstrdup(plan.class_name);
 	request->idempotent = plan.idempotent;
-	request->deadline_us = request_deadline(core, asked, plan.class_name);
+	request->deadline_us =
+		request_deadline(core, request_event, plan.class_name);
 	if (!plan.dedup_key) {
 		request_route(core, request);
 		return;
 	}
 	claim_id(request->claim_id, request->organisation,
-		 asked->service ? asked->service : "", plan.dedup_key);
+		 request_event->service ? request_event->service : "",
+		 plan.dedup_key);
 	request_check_claim(core, request);
 }
 
--- a/libfilberthall/core/span.h
+++ b/libfilberthall/core/span.h
@@ -20,10 +20,10 @@
 };
 
 /** Add the edge's span, the root of a request's spans on this VM. */
-void span_root(struct effects *effects, const struct span_info *note);
+void span_root(struct effects *effects, const struct span_info *info);
 
 /** Add a child of the edge's span, with an id drawn from `rng`. */
 void span_child(struct effects *effects, struct rng *rng,
-		const struct span_info *note);
+		const struct span_info *info);
 
 #endif
--- a/tests/agree/t-thread-wal.c
+++ b/tests/agree/t-thread-wal.c
@@ -29,8 +29,8 @@
 static void disk_thread_serves_many_tickets_by_few_syncs(void)
 {
 	struct wal_options options = wal_default_options();
-	struct sync_wait waiting = { PTHREAD_MUTEX_INITIALIZER,
-				     PTHREAD_COND_INITIALIZER, 0 };
+	struct sync_wait wait = { PTHREAD_MUTEX_INITIALIZER,
+				  PTHREAD_COND_INITIALIZER, 0 };
 	struct raft_persistent_state saved;
 	struct disk disk;
 	struct wal *wal;
@@ -40,7 +40,7 @@
 	options.folder = disk.folder;
 	options.synced = record_synced_ticket;
 	options.failed = report_wal_failure;
-	options.data = &waiting;
+	options.data = &wait;
 	g_assert_cmpint(wal_open(&options, &saved, &wal), ==, RESULT_OK);
 	g_assert_cmpint(wal_start(wal), ==, RESULT_OK);
 	disk_put_hard_state(wal, 1, 1);
@@ -48,10 +48,10 @@
 		disk_put_entry(wal, i, 1, "entry");
 		disk_put_sync(wal, i);
 	}
-	pthread_mutex_lock(&waiting.mutex);
-	while (waiting.synced < 500)
-		pthread_cond_wait(&waiting.changed, &waiting.mutex);
-	pthread_mutex_unlock(&waiting.mutex);
+	pthread_mutex_lock(&wait.mutex);
+	while (wait.synced < 500)
+		pthread_cond_wait(&wait.changed, &wait.mutex);
+	pthread_mutex_unlock(&wait.mutex);
 	g_assert_cmpint(wal_syncs(wal), <=, 501);
 	wal_close(wal);
 	g_assert_cmpint(wal_open(&options, &saved, &wal), ==, RESULT_OK);
--- a/tests/core/site.c
+++ b/tests/core/site.c
@@ -256,7 +256,8 @@
 	return id;
 }
 
-uint64_t site_lodge(struct site *site, int daemon, const char *repeat_key)
+uint64_t site_call_service(struct site *site, int daemon,
+			   const char *idempotency_key)
 {
 	struct event *event = site_request(site);
 	uint64_t id = event->u.request.id;
@@ -265,7 +266,7 @@
 	event->u.request.service = xstrdup("register");
 	event->u.request.method = xstrdup("POST");
 	event->u.request.path = xstrdup("/movements");
-	event->u.request.idempotency_key = xstrdup(repeat_key);
+	event->u.request.idempotency_key = xstrdup(idempotency_key);
 	site_give(site, daemon, event);
 	return id;
 }
--- a/tests/core/site.h
+++ b/tests/core/site.h
@@ -62,7 +62,8 @@
 uint64_t site_chat(struct site *site, int daemon, const char *class_name);
 
 /** Send a non-repeatable call to the service "register"; returns its id. */
-uint64_t site_lodge(struct site *site, int daemon, const char *repeat_key);
+uint64_t site_call_service(struct site *site, int daemon,
+			   const char *idempotency_key);
 
 /** Send an operator's call, run until it is answered and return the code. */
 enum result site_admin(struct site *site, int daemon, const char *command,
--- a/tests/core/t-site.c
+++ b/tests/core/t-site.c
@@ -51,7 +51,7 @@
 	answer = site_await(&site, 0, EFFECT_ANSWER, id);
 	g_assert_cmpint(answer->u.answer.code, ==, RESULT_CLASS_FORBIDDEN);
 	g_assert_cmpint(answer->u.answer.run, ==, RUN_NOT);
-	id = site_lodge(&site, 0, NULL);
+	id = site_call_service(&site, 0, NULL);
 	answer = site_await(&site, 0, EFFECT_ANSWER, id);
 	g_assert_cmpint(answer->u.answer.code, ==,
 			RESULT_NEEDS_IDEMPOTENCY_KEY);
@@ -74,9 +74,9 @@
 	uint64_t third;
 
 	test_start(&site, 3);
-	first = site_lodge(&site, 0, "m-1");
+	first = site_call_service(&site, 0, "m-1");
 	site_await(&site, 0, EFFECT_START_ATTEMPT, first);
-	second = site_lodge(&site, 1, "m-1");
+	second = site_call_service(&site, 1, "m-1");
 	site_run(&site, 1000);
 	g_assert_null(site_find(&site, 1, EFFECT_ANSWER, second));
 	g_assert_cmpint(site_count_attempts(&site, second), ==, 0);
@@ -85,7 +85,7 @@
 	g_assert_cmpint(answer->u.answer.http_status, ==, 200);
 	g_assert_cmpmem(answer->u.answer.body.data, answer->u.answer.body.len,
 			"{\"ok\":7}", 8);
-	third = site_lodge(&site, 2, "m-1");
+	third = site_call_service(&site, 2, "m-1");
 	answer = site_await(&site, 2, EFFECT_ANSWER, third);
 	g_assert_cmpint(answer->u.answer.run, ==, RUN_RAN);
 	g_assert_cmpint(site_count_attempts(&site, second), ==, 0);
@@ -110,10 +110,10 @@
 	test_start(&site, 3);
 	sender = (site_leader(&site) + 1) % 3;
 	other = (sender + 1) % 3;
-	first = site_lodge(&site, sender, "m-2");
+	first = site_call_service(&site, sender, "m-2");
 	site_await(&site, sender, EFFECT_START_ATTEMPT, first);
 	site.daemons[sender].stopped = true;
-	second = site_lodge(&site, other, "m-2");
+	second = site_call_service(&site, other, "m-2");
 	answer = site_await(&site, other, EFFECT_ANSWER, second);
 	g_assert_cmpint(answer->u.answer.code, ==, RESULT_CLAIM_UNKNOWN);
 	g_assert_cmpint(answer->u.answer.run, ==, RUN_UNKNOWN);
@@ -132,8 +132,8 @@
 	uint64_t second;
 
 	test_start(&site, 3);
-	first = site_lodge(&site, 1, "m-3");
-	second = site_lodge(&site, 2, "m-3");
+	first = site_call_service(&site, 1, "m-3");
+	second = site_call_service(&site, 2, "m-3");
 	site_run(&site, 2000);
 	g_assert_cmpint(site_count_attempts(&site, first) +
 				site_count_attempts(&site, second),
