--- a/libfilberthall/core/request.c
+++ b/libfilberthall/core/request.c
@@ -1,11 +1,11 @@
 /*
- * Callers' requests: authenticates and authorises the caller, opens a claim
- * for a call that may not be repeated, and submits the request to the router.
- * A disconnected VM doesn't receive withdrawals of keys, so it refuses all
- * requests once its state is older than the staleness bound. A caller without an answer may
- * send a non-repeatable call again through another VM. Its claim is therefore
- * committed to the log before anything is sent, and the second request finds
- * it.
+ * Callers' requests: authenticates and authorises the caller, opens a claim for
+ * a call that may not be repeated, and submits the request to the router. A
+ * disconnected VM doesn't receive withdrawals of keys, so it refuses all
+ * requests once its state is older than the staleness bound. A caller without
+ * an answer may send a non-repeatable call again through another VM. Its claim
+ * is therefore committed to the log before anything is sent, and the second
+ * request finds it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -290,8 +290,8 @@
 {
 	enum result code;
 
-	code = claims_probe(agreed_claims(core->agreed), request->claim_id,
-			    request->event->u.request.body_hash);
+	code = claims_check_open(agreed_claims(core->agreed), request->claim_id,
+				 request->event->u.request.body_hash);
 	if (code)
 		request_handle_claim_state(core, request, code);
 	else
--- a/libfilberthall/load/router_time.c
+++ b/libfilberthall/load/router_time.c
@@ -2,15 +2,15 @@
 
 #include "load/router_state.h"
 
-/* Interval of the search for stragglers. */
-#define TIME_COMPARE_US INT64_C(1000000)
+/* Interval of the search for stragglers and the removal of unused keys. */
+#define TIME_MAINTENANCE_US INT64_C(1000000)
 
 /* Interval at which a waiting request past its target is checked. */
 #define TIME_LOOK_US INT64_C(250000)
 
 /* An attempt is hedged after this many times the mean time to first token. */
 #define TIME_HEDGE_RATIO 4.0
-#define TIME_HEDGE_LEAST_US 3000000.0
+#define TIME_HEDGE_MIN_US 3000000.0
 
 /* Interval at which an overdue attempt is checked again. */
 #define TIME_HEDGE_AGAIN_US INT64_C(500000)
@@ -42,8 +42,8 @@
 	    attempt->first_us || !request->spec.idempotent ||
 	    !request->spec.model)
 		return INT64_MAX;
-	if (after < TIME_HEDGE_LEAST_US)
-		after = TIME_HEDGE_LEAST_US;
+	if (after < TIME_HEDGE_MIN_US)
+		after = TIME_HEDGE_MIN_US;
 	after += (double)attempt->started_us;
 	return after > (double)request->hedge_us ? (int64_t)after
 						 : request->hedge_us;
@@ -105,7 +105,7 @@
 	struct retry_case why = {
 		.code = RESULT_BACKEND_TIMEOUT,
 		.sent = true,
-		.arrived = true,
+		.reached_server = true,
 		.idempotent = request->spec.idempotent,
 		.attempts = request->n_attempts,
 		.tier = request->tier,
@@ -201,8 +201,8 @@
 	struct pool *next;
 
 	router_run_timers(router, now_us, effects);
-	if (now_us - router->compared_us >= TIME_COMPARE_US) {
-		router->compared_us = now_us;
+	if (now_us - router->maintained_us >= TIME_MAINTENANCE_US) {
+		router->maintained_us = now_us;
 		if (router->options.features.stragglers)
 			fleet_update_stragglers(router->options.fleet);
 		router_drop_keys(router, now_us);
