--- a/libfilberthall/agree/apply.h
+++ b/libfilberthall/agree/apply.h
@@ -119,10 +119,10 @@
 /* Builders of entries: each appends one complete entry to `out`. */
 
 /**
- * An operator's command that changes the state: "settings-set", "settings-
- * delete", "settings-apply", "settings-revert", "key-grant", "key-limit", "key-
- * withdraw" (arguments in agree/admin.h). `head->operator_id` names the
- * operator; `head->change_id` is optional.
+ * An operator's command that changes the state: "settings-set",
+ * "settings-delete", "settings-apply", "settings-revert", "key-grant",
+ * "key-limit", "key-withdraw" (arguments in agree/admin.h). `head->operator_id`
+ * names the operator; `head->change_id` is optional.
  */
 void entry_admin(struct bytes *out, const struct entry_head *head,
 		 const char *command, const json_t *args);
--- a/libfilberthall/agree/settings.h
+++ b/libfilberthall/agree/settings.h
@@ -16,10 +16,11 @@
  * the same index.
  *
  * Failures handled: two operators change the same value at once (the version of
- * a path is the log index of its last change and never reused, so compare-and-
- * set lets exactly one succeed); an operator sends a command again after a lost
- * answer (change ids, agree/apply.h); an invalid value (agree/schema.h, the
- * whole change is refused); a change that turns out to be wrong (revert).
+ * a path is the log index of its last change and never reused, so
+ * compare-and-set lets exactly one succeed); an operator sends a command again
+ * after a lost answer (change ids, agree/apply.h); an invalid value
+ * (agree/schema.h, the whole change is refused); a change that turns out to be
+ * wrong (revert).
  *
  * The history keeps SETTINGS_HISTORY changes: at 4,300 changes a day that is
  * about three hours, enough to undo a mistake that was noticed, and small
